--- a/routing/backoff/src/backoff-table.ts
+++ b/routing/backoff/src/backoff-table.ts
@@ -1,31 +1,32 @@
-/** The endpoints that asked one process to be left alone. Each process keeps what it was asked itself: the word is meant for it. */
+/** The backoffs that endpoints requested from this process. They are not shared: an endpoint addresses each client individually. */
 import { type EndpointRecord } from '@gullwall/core.logger'
 import { Backoff, IDLE_MS, OPEN_PERMIT, type Permit } from './backoff.ts'
 
-/** So many endpoints are remembered at most, more than one process reaches in the largest deployment (12,000); the oldest gives way. */
+/** At this size the oldest entry is dropped. One process reaches at most 12,000 endpoints in the largest deployment. */
 const MAX_ENDPOINTS = 16_384
 const MS_PER_SECOND = 1000
 
-/** The time for which an endpoint is left alone has begun, or is over. */
+/** The start of a backoff, with its length in ms, or its end. */
 export type BackoffTurn = { event: 'began', ms: number } | { event: 'ended' }
 
-/** The log line of a turn. */
+/** Creates the log record of a transition. */
 export function recordOfTurn (endpoint: string, turn: BackoffTurn): EndpointRecord {
   return turn.event === 'began'
-    ? { channel: 'endpoint', event: 'backs-off', endpoint, why: `it wants nothing for ${Math.round(turn.ms)} ms` }
-    : { channel: 'endpoint', event: 'back', endpoint, why: 'its time is over; slow start' }
+    ? { channel: 'endpoint', event: 'backs-off', endpoint, why: `backoff of ${Math.round(turn.ms)} ms requested` }
+    : { channel: 'endpoint', event: 'back', endpoint, why: 'backoff ended; slow start begins' }
 }
 
 export interface BackoffTableOptions {
-  /** The time of one endpoint is over, or it takes more: requests that wait look again. */
+  /** Called when an endpoint may accept more requests, so that waiting requests check again. */
   onRoom: () => void
-  /** Told when an endpoint first asks, and when its time is over. */
+  /** Called when the backoff of an endpoint begins or ends. */
   onTurn?: (endpoint: string, turn: BackoffTurn) => void
   now?: () => number
 }
 
+/** Backoffs by endpoint. */
 export class BackoffTable {
-  /** How often endpoints asked, since the start. */
+  /** The number of backoff requests since the process started. */
   asked = 0
   private readonly backoffs = new Map<string, Backoff>()
   private readonly timers = new Map<string, NodeJS.Timeout>()
@@ -39,12 +40,12 @@
     for (const endpoint of [...this.backoffs.keys()]) this.forget(endpoint)
   }
 
-  /** Endpoints that are left alone, or come back from it. */
+  /** The number of endpoints in backoff or slow start. */
   get size (): number {
     return this.backoffs.size
   }
 
-  /** The endpoints that are left alone now, with what is left of their time in ms. */
+  /** Returns the endpoints in backoff, with the remaining time in ms. */
   resting (): Array<{ endpoint: string, leftMs: number }> {
     const now = this.now()
     return [...this.backoffs].flatMap(([endpoint, backoff]) => {
@@ -53,52 +54,52 @@
     })
   }
 
-  /** Takes word of an endpoint that wants nothing more for so long, in ms. */
+  /** Records that an endpoint requested a backoff of `ms`; ignores 0. */
   note (endpoint: string, ms: number): void {
     if (ms <= 0) return
     this.asked += 1
     const backoff = this.backoffs.get(endpoint) ?? this.add(endpoint)
     const now = this.now()
     if (backoff.extend(ms, now)) this.options.onTurn?.(endpoint, { event: 'began', ms })
-    this.lookIn(endpoint, backoff.remainingMs(now))
+    this.scheduleCheck(endpoint, backoff.remainingMs(now))
   }
 
-  /** For how long an endpoint is left alone, in ms; 0 where it is not. */
+  /** The remaining backoff of an endpoint in ms; 0 if none is active. */
   remainingMs (endpoint: string): number {
     if (this.backoffs.size === 0) return 0
     return this.backoffs.get(endpoint)?.remainingMs(this.now()) ?? 0
   }
 
-  /** How many requests may be sent to an endpoint now; no bound where it asked for nothing. */
+  /** The number of requests that may be sent to an endpoint now; `Infinity` without backoff or slow start. */
   room (endpoint: string): number {
     if (this.backoffs.size === 0) return Infinity
     return this.backoffs.get(endpoint)?.room(this.now()) ?? Infinity
   }
 
-  /** Why an endpoint gets nothing now; undefined if it does. */
+  /** Describes why no request may be sent to an endpoint now; undefined if one may be sent. */
   whyNot (endpoint: string): string | undefined {
     if (this.room(endpoint) > 0) return undefined
     const leftMs = this.remainingMs(endpoint)
     return leftMs > 0
       ? `${endpoint} wants nothing for ${(leftMs / MS_PER_SECOND).toFixed(1)} s more`
-      : `${endpoint} comes back from a rest, and is being tried`
+      : `${endpoint} is in slow start after a backoff, and its window is full`
   }
 
-  /** Takes leave for one request that is sent now; undefined if there is none. The caller must release it in the end. */
+  /** Returns a permit for a request that is sent now, or undefined if none is available. The caller must release the permit. */
   acquire (endpoint: string): Permit | undefined {
     const backoff = this.backoffs.get(endpoint)
     if (backoff === undefined) return OPEN_PERMIT
     const permit = backoff.acquire(this.now())
     if (permit === undefined) return undefined
-    const settled = (settle: () => void) => () => {
-      settle()
-      this.lookAt(endpoint, backoff)
+    const withUpdate = (record: () => void) => () => {
+      record()
+      this.dropIfFinished(endpoint, backoff)
       this.options.onRoom()
     }
-    return { answered: settled(permit.answered), released: settled(permit.released) }
+    return { answered: withUpdate(permit.answered), released: withUpdate(permit.released) }
   }
 
-  /** Forgets what an endpoint asked for, since it has ended. */
+  /** Drops the backoff of an endpoint, for example because its process has ended. */
   forget (endpoint: string): void {
     clearTimeout(this.timers.get(endpoint))
     this.timers.delete(endpoint)
@@ -113,34 +114,34 @@
     return backoff
   }
 
-  /** Looks in so long, and not at the time that was set before: a rest that is asked for in the slow start ends sooner than that. */
-  private lookIn (endpoint: string, ms: number): void {
+  /** Replaces the scheduled check: a backoff that starts during a slow start may end before that check. */
+  private scheduleCheck (endpoint: string, ms: number): void {
     clearTimeout(this.timers.get(endpoint))
-    // Timers may fire up to 1 ms early.
+    // Timers may fire up to 1 ms early; the added 1 ms makes up for that.
     this.timers.set(endpoint, setTimeout(() => {
       this.timers.delete(endpoint)
-      this.timePassed(endpoint)
+      this.checkBackoff(endpoint)
     }, ms + 1))
   }
 
-  private timePassed (endpoint: string): void {
+  private checkBackoff (endpoint: string): void {
     const backoff = this.backoffs.get(endpoint)
     if (backoff === undefined) return
     const leftMs = backoff.remainingMs(this.now())
     if (leftMs > 0) {
-      this.lookIn(endpoint, leftMs)
+      this.scheduleCheck(endpoint, leftMs)
       return
     }
-    this.lookAt(endpoint, backoff)
+    this.dropIfFinished(endpoint, backoff)
     if (!this.backoffs.has(endpoint)) return
-    this.lookIn(endpoint, IDLE_MS)
+    this.scheduleCheck(endpoint, IDLE_MS)
     if (backoff.hasEnded) return
     backoff.hasEnded = true
     this.options.onTurn?.(endpoint, { event: 'ended' })
     this.options.onRoom()
   }
 
-  private lookAt (endpoint: string, backoff: Backoff): void {
+  private dropIfFinished (endpoint: string, backoff: Backoff): void {
     if (this.backoffs.get(endpoint) === backoff && backoff.isOver(this.now())) this.forget(endpoint)
   }
 }
--- a/routing/backoff/src/backoff.ts
+++ b/routing/backoff/src/backoff.ts
@@ -1,42 +1,46 @@
 /**
- * One endpoint that asked to be left alone. While the time runs it gets nothing. Afterwards it gets one request, and with each
- * one that it takes the number that may be waiting for its first byte doubles (slow start): what has piled up meanwhile at
- * every box would otherwise arrive in one moment, at an endpoint that was overloaded seconds ago.
+ * The backoff that one endpoint requested, followed by a slow start. No request is sent during the backoff. Afterwards a window
+ * limits the requests that wait for a first byte. The window starts at one request and doubles with each accepted request.
+ * Without the slow start, the requests queued on all boxes would reach a recently overloaded endpoint at the same moment.
  */
 
-/** Requests that may be unanswered at an endpoint right after its rest. */
-const FIRST_WINDOW = 1
-/** From this window on all may come: the endpoint has taken 1, 2, 4 and 8 at a time. */
-const LAST_WINDOW = 16
-/** An endpoint that nobody tried for so long after its rest is like any other, in ms: what had piled up has come or gone. */
+/** The window right after the backoff, in requests without a response. */
+const INITIAL_WINDOW = 1
+/** At this window the slow start ends: the endpoint has accepted 1, 2, 4 and 8 concurrent requests. */
+const FINAL_WINDOW = 16
+/** The slow start ends if no request is pending this long after the backoff, in ms: no queued requests are left by then. */
 export const IDLE_MS = 10_000
 
-/** Leave for one request. */
+/** Permission to send one request to an endpoint. */
 export interface Permit {
-  /** The endpoint has begun to answer it, and did not turn it away. */
+  /** Records that the endpoint accepted the request and has begun to respond. */
   answered: () => void
-  /** The attempt has ended, in whatever way. */
+  /** Records that the attempt has ended, whatever its result. */
   released: () => void
 }
 
-/** Leave for a request at an endpoint that has asked for nothing. */
+/** The permit for an endpoint without a backoff. */
 export const OPEN_PERMIT: Permit = { answered: () => {}, released: () => {} }
 
+/** The backoff and slow start of one endpoint. All times are in ms of the monotonic clock. */
 export class Backoff {
-  /** When the time is over, by the monotonic clock. */
+  /** The end of the backoff. */
   until = -Infinity
-  /** Whether the end of its time has been told. */
+  /** Whether the end of the backoff has been reported. */
   hasEnded = false
-  private window = FIRST_WINDOW
+  private window = INITIAL_WINDOW
   private readonly unanswered = new Set<Permit>()
 
-  /** Takes what the endpoint asks for; a shorter time does not take back a longer one. Gives whether it had not asked before. */
+  /**
+   * Starts or extends the backoff and restarts the slow start. The backoff is never shortened.
+   * @returns true if no backoff was active
+   */
   extend (ms: number, now: number): boolean {
     const isNew = now >= this.until
     this.until = Math.max(this.until, now + ms)
     this.hasEnded = false
-    this.window = FIRST_WINDOW
-    // What was under way when it asked tells nothing of the time after its rest.
+    this.window = INITIAL_WINDOW
+    // Requests sent before the backoff must not widen the window after it.
     this.unanswered.clear()
     return isNew
   }
@@ -45,23 +49,23 @@
     return Math.max(0, this.until - now)
   }
 
-  /** How many requests may be sent now. */
+  /** The number of requests that may be sent now. */
   room (now: number): number {
     return now < this.until ? 0 : Math.max(0, this.window - this.unanswered.size)
   }
 
-  /** Whether all may come again. */
+  /** Whether backoff and slow start have ended, so that requests are no longer limited. */
   isOver (now: number): boolean {
     if (now < this.until) return false
-    return this.window >= LAST_WINDOW || (this.unanswered.size === 0 && now - this.until >= IDLE_MS)
+    return this.window >= FINAL_WINDOW || (this.unanswered.size === 0 && now - this.until >= IDLE_MS)
   }
 
-  /** Gives leave for one request, if there is room. */
+  /** Returns a permit for one request, or undefined if none may be sent now. */
   acquire (now: number): Permit | undefined {
     if (this.room(now) === 0) return undefined
     const permit: Permit = {
       answered: () => {
-        if (this.unanswered.delete(permit)) this.window = Math.min(LAST_WINDOW, 2 * this.window)
+        if (this.unanswered.delete(permit)) this.window = Math.min(FINAL_WINDOW, 2 * this.window)
       },
       released: () => { this.unanswered.delete(permit) }
     }
--- a/routing/backoff/src/index.ts
+++ b/routing/backoff/src/index.ts
@@ -1,3 +1,3 @@
-/** Endpoints that asked to be left alone for a time, and the slow start after it. */
+/** Backoffs that endpoints request with `Retry-After`, and the slow start after each backoff. */
 export * from './backoff.ts'
 export * from './backoff-table.ts'
--- a/routing/backoff/test/backoff-table.test.ts
+++ b/routing/backoff/test/backoff-table.test.ts
@@ -1,37 +1,39 @@
-/** Endpoints that asked to be left alone, and the slow start after it. */
 import fc from 'fast-check'
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
 import { BackoffTable, OPEN_PERMIT, type Permit } from '../src/index.ts'
 
-interface Turn {
+interface Transition {
   endpoint: string
   event: string
 }
 
-const turns: Turn[] = []
-let rooms = 0
+const transitions: Transition[] = []
+let availabilityCalls = 0
 let table: BackoffTable
 
 beforeEach(() => {
   vi.useFakeTimers({ toFake: ['setTimeout', 'clearTimeout', 'performance'] })
-  turns.length = 0
-  rooms = 0
-  table = new BackoffTable({ onRoom: () => { rooms += 1 }, onTurn: (endpoint, { event }) => turns.push({ endpoint, event }) })
+  transitions.length = 0
+  availabilityCalls = 0
+  table = new BackoffTable({
+    onRoom: () => { availabilityCalls += 1 },
+    onTurn: (endpoint, { event }) => transitions.push({ endpoint, event })
+  })
 })
 afterEach(() => {
   table.stop()
   vi.useRealTimers()
 })
 
-/** Takes as many permits as there are. */
+/** Acquires all permits that are available for endpoint `a`. */
 function acquireAll (): Permit[] {
   const permits: Permit[] = []
   for (let permit = table.acquire('a'); permit !== undefined && permits.length < 100; permit = table.acquire('a')) permits.push(permit)
   return permits
 }
 
-describe('an endpoint that asked to be left alone', () => {
-  it('gets nothing until its time has passed, and is told of once', () => {
+describe('an endpoint that requested a backoff', () => {
+  it('receives no request until the longest backoff has ended, and its end is reported once', () => {
     table.note('a', 3000)
     table.note('a', 1000)
     vi.advanceTimersByTime(2900)
@@ -40,16 +42,16 @@
     expect({ room: table.room('b'), permit: table.acquire('b') }).toEqual({ room: Infinity, permit: OPEN_PERMIT })
     vi.advanceTimersByTime(110)
     expect({ left: table.remainingMs('a'), room: table.room('a') }).toEqual({ left: 0, room: 1 })
-    expect(turns).toEqual([{ endpoint: 'a', event: 'began' }, { endpoint: 'a', event: 'ended' }])
-    expect(rooms).toBe(1)
+    expect(transitions).toEqual([{ endpoint: 'a', event: 'began' }, { endpoint: 'a', event: 'ended' }])
+    expect(availabilityCalls).toBe(1)
   })
 
-  it('is not left alone for 0 s', () => {
+  it('is not limited by a backoff of 0 s', () => {
     table.note('a', 0)
     expect({ size: table.size, room: table.room('a') }).toEqual({ size: 0, room: Infinity })
   })
 
-  it('comes back by 1, 2, 4 and 8 at a time, and then takes all', () => {
+  it('may receive 1, 2, 4 and 8 requests at a time during the slow start, and any number afterwards', () => {
     table.note('a', 1000)
     vi.advanceTimersByTime(1001)
     const windows = []
@@ -65,11 +67,11 @@
     expect(table.acquire('a')).toBe(OPEN_PERMIT)
   })
 
-  it('is tried by one again where an attempt ended without an answer', () => {
+  it('receives one request at a time until it has responded to one, also after a second backoff', () => {
     table.note('a', 1000)
     vi.advanceTimersByTime(1001)
     expect(acquireAll()).toHaveLength(1)
-    expect(table.whyNot('a')).toBe('a comes back from a rest, and is being tried')
+    expect(table.whyNot('a')).toBe('a is in slow start after a backoff, and its window is full')
     expect(acquireAll()).toHaveLength(0)
     table.note('a', 500)
     vi.advanceTimersByTime(501)
@@ -78,39 +80,39 @@
     expect(acquireAll()).toHaveLength(1)
   })
 
-  it('that asks again while it comes back is told of when that time is over, and not later', () => {
+  it('reports the end of a second backoff that begins during the slow start on time', () => {
     table.note('a', 1000)
     vi.advanceTimersByTime(1001)
     table.note('a', 500)
-    rooms = 0
+    availabilityCalls = 0
     vi.advanceTimersByTime(502)
-    expect(rooms).toBe(1)
-    expect(turns.map(({ event }) => event)).toEqual(['began', 'ended', 'began', 'ended'])
+    expect(availabilityCalls).toBe(1)
+    expect(transitions.map(({ event }) => event)).toEqual(['began', 'ended', 'began', 'ended'])
   })
 
-  it('is like any other once nobody has tried it for ten seconds', () => {
+  it('is no longer tracked ten seconds after the backoff if no request was sent', () => {
     table.note('a', 1000)
     vi.advanceTimersByTime(11_100)
     expect(table.size).toBe(0)
   })
 
-  it('is forgotten with its life', () => {
+  it('is not tracked after its backoff is dropped', () => {
     table.note('a', 5000)
     table.forget('a')
     expect(table.room('a')).toBe(Infinity)
     vi.advanceTimersByTime(6000)
-    expect(turns.filter(({ event }) => event === 'ended')).toEqual([])
+    expect(transitions.filter(({ event }) => event === 'ended')).toEqual([])
   })
 })
 
-describe('the table', () => {
-  it('stays bounded', () => {
+describe('the backoff table', () => {
+  it('keeps a bounded number of endpoints and drops the oldest', () => {
     for (let index = 0; index < 20_000; index += 1) table.note(`e-${index}`, 60_000)
     expect(table.size).toBe(16_384)
     expect(table.remainingMs('e-19999')).toBeGreaterThan(0)
   })
 
-  it('never gives leave within a time that was asked for, and always does at some time after it', () => {
+  it('grants no permit during a backoff, and unrestricted permits again some time after it', () => {
     const step = fc.oneof(
       fc.record({ type: fc.constant('note' as const), ms: fc.integer({ min: 0, max: 4000 }) }),
       fc.record({ type: fc.constant('wait' as const), ms: fc.integer({ min: 0, max: 3000 }) }),
@@ -119,7 +121,7 @@
     fc.assert(fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
       table.forget('a')
       let until = 0
-      const held: Array<() => void> = []
+      const pendingReleases: Array<() => void> = []
       for (const next of steps) {
         if (next.type === 'note') {
           table.note('a', next.ms)
@@ -131,10 +133,10 @@
           if (permit !== undefined) expect(performance.now()).toBeGreaterThanOrEqual(until)
           if (next.isAnswered) permit?.answered()
           if (next.isReleased) permit?.released()
-          else if (permit !== undefined) held.push(permit.released)
+          else if (permit !== undefined) pendingReleases.push(permit.released)
         }
       }
-      for (const release of held) release()
+      for (const release of pendingReleases) release()
       vi.advanceTimersByTime(30_000)
       expect(table.acquire('a')).toBe(OPEN_PERMIT)
       expect(table.size).toBe(0)
--- a/routing/quarantine/src/blame.ts
+++ b/routing/quarantine/src/blame.ts
@@ -1,71 +1,71 @@
 /**
- * Finds the requests that crash endpoints among those that were running when endpoints crashed. A crash takes everything
- * down that runs there, and what is repeated meets the same request at the next endpoint, so that to have been there
- * often proves little: a crash that one request explains says little of the others.
+ * Identifies the requests that crash endpoints among the requests that were running when endpoints crashed. A crash interrupts
+ * all requests at the endpoint, and these are retried together at the next endpoint, possibly beside the cause of the crash.
+ * Presence at several crashes is therefore weak evidence, and weaker still if another request explains the crash.
  */
 
-/** With so many crashes a request is held: two may meet it by chance, since what is repeated runs beside it again. */
+/** The score from which a request is quarantined. Retried requests may be present at two crashes by chance. */
 export const CRASHES_NEEDED = 3
-/** Where another request was in as many of the same crashes neither is held yet, but with so many both are. */
-const CRASHES_FOR_SURE = 5
-/** What a crash counts that another request explains already. */
+/** The score from which a request is quarantined even if another request was present at the same crashes as often. */
+const CONCLUSIVE_CRASHES = 5
+/** The weight in the score of a crash that another request explains; other crashes count 1. */
 const EXPLAINED_WEIGHT = 0.5
 
-/** The requests that ran at one endpoint when it crashed, by fingerprint. */
+/** The fingerprints of the requests that were running at one endpoint when it crashed. */
 export type CrashedTogether = ReadonlySet<string>
 
 export interface BlameOptions {
   crashes: Iterable<CrashedTogether>
-  /** Requests that are held: they explain the crashes that they were in. */
+  /** Quarantined requests, which explain the crashes they were present at. */
   held: ReadonlySet<string>
-  /** Requests that were held before: one crash is enough. */
+  /** Requests released from quarantine, for which one further crash is enough. */
   suspected: ReadonlySet<string>
 }
 
 interface Candidate {
   fingerprint: string
-  /** Its crashes that nothing else explains. */
-  own: ReadonlySet<CrashedTogether>
+  /** Crashes at which it was running and that no other request explains. */
+  unexplained: ReadonlySet<CrashedTogether>
   score: number
 }
 
-/** Gives the requests that are to be held besides those that are; the same for the same crashes in any order. */
+/** Returns further requests to quarantine. The result does not depend on the order of the crashes. */
 export function blamed ({ crashes, held, suspected }: BlameOptions): string[] {
   const all = [...crashes]
   const found = new Set<string>()
   const isExplained = (crash: CrashedTogether) => [...crash].some((fingerprint) => held.has(fingerprint) || found.has(fingerprint))
   for (;;) {
-    const candidates = candidatesOf(all, isExplained).filter(({ fingerprint }) => !held.has(fingerprint) && !found.has(fingerprint))
-    const next = candidates.find((candidate) => isBlamed(candidate, candidates, suspected))
+    const candidates = rankCandidates(all, isExplained).filter(({ fingerprint }) => !held.has(fingerprint) && !found.has(fingerprint))
+    const next = candidates.find((candidate) => isCause(candidate, candidates, suspected))
     if (next === undefined) return [...found]
     found.add(next.fingerprint)
   }
 }
 
-/** Requests with a crash that nothing explains, the most suspicious first. */
-function candidatesOf (crashes: readonly CrashedTogether[], isExplained: (crash: CrashedTogether) => boolean): Candidate[] {
-  const own = new Map<string, Set<CrashedTogether>>()
-  const explained = new Map<string, number>()
+/** Returns the requests that were running at an unexplained crash, by descending score. */
+function rankCandidates (crashes: readonly CrashedTogether[], isExplained: (crash: CrashedTogether) => boolean): Candidate[] {
+  const unexplained = new Map<string, Set<CrashedTogether>>()
+  const explainedCounts = new Map<string, number>()
   for (const crash of crashes) {
-    const isOther = isExplained(crash)
+    const hasCause = isExplained(crash)
     for (const fingerprint of crash) {
-      if (isOther) explained.set(fingerprint, (explained.get(fingerprint) ?? 0) + 1)
-      else own.set(fingerprint, (own.get(fingerprint) ?? new Set()).add(crash))
+      if (hasCause) explainedCounts.set(fingerprint, (explainedCounts.get(fingerprint) ?? 0) + 1)
+      else unexplained.set(fingerprint, (unexplained.get(fingerprint) ?? new Set()).add(crash))
     }
   }
-  const candidates = [...own].map(([fingerprint, crashed]) => (
-    { fingerprint, own: crashed, score: crashed.size + EXPLAINED_WEIGHT * (explained.get(fingerprint) ?? 0) }
+  const candidates = [...unexplained].map(([fingerprint, ownCrashes]) => (
+    { fingerprint, unexplained: ownCrashes, score: ownCrashes.size + EXPLAINED_WEIGHT * (explainedCounts.get(fingerprint) ?? 0) }
   ))
   return candidates.sort((left, right) => right.score - left.score || (left.fingerprint < right.fingerprint ? -1 : 1))
 }
 
-function isBlamed (candidate: Candidate, candidates: readonly Candidate[], suspected: ReadonlySet<string>): boolean {
+function isCause (candidate: Candidate, candidates: readonly Candidate[], suspected: ReadonlySet<string>): boolean {
   const { fingerprint, score } = candidate
-  if (suspected.has(fingerprint) || score >= CRASHES_FOR_SURE) return true
+  if (suspected.has(fingerprint) || score >= CONCLUSIVE_CRASHES) return true
   if (score < CRASHES_NEEDED) return false
   return !candidates.some((other) => other !== candidate && other.score >= score && sharesCrash(other, candidate))
 }
 
 function sharesCrash (left: Candidate, right: Candidate): boolean {
-  return [...left.own].some((crash) => right.own.has(crash))
+  return [...left.unexplained].some((crash) => right.unexplained.has(crash))
 }
--- a/routing/quarantine/src/crash-evidence.ts
+++ b/routing/quarantine/src/crash-evidence.ts
@@ -1,25 +1,25 @@
 /**
- * What is known of crashed endpoints and of what ran there, and which requests are held for it. Deterministic, without
- * a clock: whoever replicates it decides when it is judged and when what is old is forgotten.
+ * The endpoint crashes seen so far, the requests that were running there, and the requests that are quarantined as a result.
+ * The state is deterministic and has no clock: the replicating caller decides when to evaluate and when to drop old crashes.
  */
 import { blamed } from './blame.ts'
 
-/** An endpoint that has crashed and what ran there, as one box saw it. */
+/** A crash of an endpoint, with the requests of one box that were running there. */
 export interface Crash {
-  /** Names one life of the endpoint. */
+  /** The incarnation of the endpoint. */
   endpoint: string
-  /** Fingerprints of requests. */
+  /** Fingerprints of the requests. */
   requests: string[]
 }
 
-/** Crashes that are kept; the oldest gives way. At 70 failed boxes a day with 20 engines each, two hours' worth. */
+/** At this number the oldest crash is dropped. It covers two hours at 70 failed boxes a day with 20 engines each. */
 const MAX_CRASHES = 128
-/** Requests that are kept of one crash: twice what an engine runs at once. */
+/** The number of requests kept for one crash: twice the concurrent requests of an engine. */
 const MAX_REQUESTS = 128
-/** Requests that are held, and such that were; the oldest gives way. */
-const MAX_HELD = 1000
+/** The number of quarantined and of formerly quarantined requests that are kept each; the oldest is dropped. */
+const MAX_QUARANTINED = 1000
 
-/** The evidence as it is kept in a snapshot. */
+/** The evidence as stored in a snapshot. `suspected` are formerly quarantined requests. */
 export interface EvidenceDump {
   crashes: Array<[endpoint: string, requests: string[]]>
   held: string[]
@@ -28,107 +28,120 @@
 }
 
 export class CrashEvidence {
-  /** What ran at each endpoint that crashed, the oldest first. */
+  /** The requests running at each crashed incarnation, oldest crash first. */
   private readonly crashes = new Map<string, Set<string>>()
-  private readonly heldNow = new Set<string>()
-  /** Requests that were held, until they have run well. */
-  private readonly suspected = new Set<string>()
-  private judged = true
+  private readonly quarantinedRequests = new Set<string>()
+  /** Requests released from quarantine that have not completed since. */
+  private readonly formerlyQuarantined = new Set<string>()
+  private isEvaluationCurrent = true
 
-  /** Whether nothing has come in since the last judgement. */
+  /** Whether no crash was recorded since the last evaluation. */
   get isJudged (): boolean {
-    return this.judged
+    return this.isEvaluationCurrent
   }
 
+  /** The fingerprints of the quarantined requests. */
   get held (): ReadonlySet<string> {
-    return this.heldNow
+    return this.quarantinedRequests
   }
 
-  /** The endpoints whose crashes are kept. */
+  /** The incarnations whose crashes are kept. */
   get endpoints (): string[] {
     return [...this.crashes.keys()]
   }
 
-  /** Requests that were running when an endpoint crashed and are not held. */
+  /** The number of requests that were running when an endpoint crashed and are not quarantined. */
   get suspects (): number {
     const all = new Set([...this.crashes.values()].flatMap((requests) => [...requests]))
-    return [...all].filter((fingerprint) => !this.heldNow.has(fingerprint)).length
+    return [...all].filter((fingerprint) => !this.quarantinedRequests.has(fingerprint)).length
   }
 
-  /** Takes what a box saw; the same again changes nothing, and what several boxes saw of one crash adds up. */
+  /** Records crashes. Repeated reports change nothing, and reports of several boxes about one crash are merged. */
   note (crashes: readonly Crash[]): void {
     for (const { endpoint, requests } of crashes) {
       const known = this.crashes.get(endpoint) ?? new Set()
-      const fresh = requests.filter((fingerprint) => !known.has(fingerprint)).slice(0, MAX_REQUESTS - known.size)
-      if (fresh.length === 0) continue
-      for (const fingerprint of fresh) known.add(fingerprint)
+      const added = requests.filter((fingerprint) => !known.has(fingerprint)).slice(0, MAX_REQUESTS - known.size)
+      if (added.length === 0) continue
+      for (const fingerprint of added) known.add(fingerprint)
       this.crashes.set(endpoint, known)
-      this.judged = false
+      this.isEvaluationCurrent = false
     }
     dropOldest(this.crashes, MAX_CRASHES)
   }
 
-  /** Clears requests that have run without a crash; gives those of them that were held. */
+  /**
+   * Removes all evidence against requests that completed without a crash.
+   * @returns the requests that leave quarantine
+   */
   clear (requests: readonly string[]): string[] {
     for (const fingerprint of requests) {
-      this.suspected.delete(fingerprint)
+      this.formerlyQuarantined.delete(fingerprint)
       for (const crash of this.crashes.values()) crash.delete(fingerprint)
     }
-    return requests.filter((fingerprint) => this.heldNow.delete(fingerprint))
+    return requests.filter((fingerprint) => this.quarantinedRequests.delete(fingerprint))
   }
 
-  /** Holds the requests that the crashes tell of; gives those that are newly held, and those that gave way to them. */
+  /**
+   * Quarantines the requests that the recorded crashes indicate.
+   * @returns the newly quarantined requests, and the oldest ones that were released because the quarantine is full
+   */
   judge (): { held: string[], released: string[] } {
-    const held = blamed({ crashes: this.crashes.values(), held: this.heldNow, suspected: this.suspected })
-    this.judged = true
+    const held = blamed({ crashes: this.crashes.values(), held: this.quarantinedRequests, suspected: this.formerlyQuarantined })
+    this.isEvaluationCurrent = true
     for (const fingerprint of held) {
-      this.heldNow.add(fingerprint)
-      this.suspected.delete(fingerprint)
+      this.quarantinedRequests.add(fingerprint)
+      this.formerlyQuarantined.delete(fingerprint)
     }
-    return { held, released: dropOldest(this.heldNow, MAX_HELD) }
+    return { held, released: dropOldest(this.quarantinedRequests, MAX_QUARANTINED) }
   }
 
-  /** In how many kept crashes a request was running. */
+  /** Counts the kept crashes at which a request was running. */
   crashesOf (fingerprint: string): number {
     return [...this.crashes.values()].filter((requests) => requests.has(fingerprint)).length
   }
 
-  /** Forgets old crashes. */
+  /** Drops the crashes of these incarnations. */
   forgetCrashes (endpoints: readonly string[]): void {
     for (const endpoint of endpoints) this.crashes.delete(endpoint)
   }
 
-  /** Lets held requests run again; one more crash holds them anew. Gives those that were held. */
+  /**
+   * Releases requests from quarantine. One further crash quarantines them again.
+   * @returns the requests that were quarantined
+   */
   release (requests: readonly string[]): string[] {
-    const released = requests.filter((fingerprint) => this.heldNow.delete(fingerprint))
+    const released = requests.filter((fingerprint) => this.quarantinedRequests.delete(fingerprint))
     for (const fingerprint of released) {
-      // Its old crashes would hold it again at once.
+      // With its earlier crashes the request would be quarantined again at once.
       for (const crash of this.crashes.values()) crash.delete(fingerprint)
-      this.suspected.add(fingerprint)
+      this.formerlyQuarantined.add(fingerprint)
     }
-    dropOldest(this.suspected, MAX_HELD)
+    dropOldest(this.formerlyQuarantined, MAX_QUARANTINED)
     return released
   }
 
   dump (): EvidenceDump {
     const crashes = [...this.crashes].map(([endpoint, requests]): [string, string[]] => [endpoint, [...requests]])
-    return { crashes, held: [...this.heldNow], suspected: [...this.suspected], isJudged: this.judged }
+    return { crashes, held: [...this.quarantinedRequests], suspected: [...this.formerlyQuarantined], isJudged: this.isEvaluationCurrent }
   }
 
   restore ({ crashes, held, suspected, isJudged }: EvidenceDump): void {
     this.crashes.clear()
-    this.heldNow.clear()
-    this.suspected.clear()
+    this.quarantinedRequests.clear()
+    this.formerlyQuarantined.clear()
     for (const [endpoint, requests] of crashes) this.crashes.set(endpoint, new Set(requests))
-    for (const fingerprint of held) this.heldNow.add(fingerprint)
-    for (const fingerprint of suspected) this.suspected.add(fingerprint)
-    this.judged = isJudged
+    for (const fingerprint of held) this.quarantinedRequests.add(fingerprint)
+    for (const fingerprint of suspected) this.formerlyQuarantined.add(fingerprint)
+    this.isEvaluationCurrent = isJudged
   }
 }
 
-/** Drops the first entries beyond a number; gives their keys. */
-function dropOldest<Key> (kept: Map<Key, unknown> | Set<Key>, most: number): Key[] {
-  const dropped = [...kept.keys()].slice(0, Math.max(0, kept.size - most))
-  for (const key of dropped) kept.delete(key)
+/**
+ * Drops the first entries of a collection until it has at most `maxSize`.
+ * @returns the keys of the dropped entries
+ */
+function dropOldest<Key> (entries: Map<Key, unknown> | Set<Key>, maxSize: number): Key[] {
+  const dropped = [...entries.keys()].slice(0, Math.max(0, entries.size - maxSize))
+  for (const key of dropped) entries.delete(key)
   return dropped
 }
--- a/routing/quarantine/src/fingerprint.ts
+++ b/routing/quarantine/src/fingerprint.ts
@@ -1,9 +1,9 @@
-/** Knows a request again that comes anew under another id, also at another box. */
+/** Fingerprints that identify a repeated request under another id, also on another box. */
 import { createHash } from 'node:crypto'
 
-/** What makes two requests the same: who asks, and for what. Headers and ids of an attempt do not count. */
+/** The parts that are equal in repeats of one request. Headers and attempt ids are not part of the identity. */
 export interface RequestIdentity {
-  /** The caller's organisation; none on routes that are open to everybody. */
+  /** The caller's organisation; undefined on public routes. */
   organisation: string | undefined
   method: string
   /** Path and query. */
@@ -11,13 +11,13 @@
   body: Buffer | undefined
 }
 
-/** Hexadecimal digits of a fingerprint: 128 bits, so that two of a billion requests are not taken for the same. */
+/** Hexadecimal digits of a fingerprint: 128 bits, so that collisions are unlikely among a billion requests. */
 const DIGITS = 32
 
-/** A digest of the request, equal in every process; nothing of its content can be read from it. */
+/** Computes a digest of the request that is the same in every process and does not reveal its content. */
 export function fingerprintOf ({ organisation, method, path, body }: RequestIdentity): string {
   const hash = createHash('sha256')
-  // The lengths come first, so that no part can run over into the next.
+  // Each part is preceded by its length, so that different divisions into parts give different digests.
   for (const part of [organisation ?? '', method, path]) hash.update(`${Buffer.byteLength(part)}:`).update(part)
   hash.update(body ?? '')
   return hash.digest('hex').slice(0, DIGITS)
--- a/routing/quarantine/test/crash-evidence.fuzz.test.ts
+++ b/routing/quarantine/test/crash-evidence.fuzz.test.ts
@@ -1,4 +1,3 @@
-/** Random reports of crashes against what must hold whatever their order, and the bounds of what is kept. */
 import { describe, expect, it } from 'vitest'
 import fc from 'fast-check'
 import { CrashEvidence, type Crash } from '../src/index.ts'
@@ -17,10 +16,10 @@
   return evidence
 }
 
-describe(`the evidence of crashes (seed ${SEED})`, () => {
+describe(`crash evidence (seed ${SEED})`, () => {
   console.log(`seed ${SEED}, ${RUNS} runs`)
 
-  it('holds the same requests in whatever order and how often it hears of the same crashes', () => {
+  it('quarantines the same requests in whatever order and however often the same crashes are reported', () => {
     fc.assert(fc.property(fc.array(crash, { maxLength: 12 }), fc.array(fc.nat(), { maxLength: 12 }), (crashes, keys) => {
       const shuffled = crashes.map((item, index) => ({ item, key: keys[index] ?? 0 })).sort((left, right) => left.key - right.key)
       const once = evidenceOf(crashes).judge().held.sort()
@@ -28,7 +27,7 @@
     }), { numRuns: RUNS, seed: SEED })
   })
 
-  it('holds one that was in all crashes where others were in fewer, and none that was in less than three', () => {
+  it('quarantines only the request that was running at every crash, from three crashes on', () => {
     const others = fc.array(fc.subarray(['a', 'b', 'c', 'd'], { maxLength: 3 }), { minLength: 3, maxLength: 10 })
     fc.assert(fc.property(others, (runs) => {
       const counts = new Map<string, number>()
@@ -39,7 +38,7 @@
     }), { numRuns: RUNS, seed: SEED })
   })
 
-  it('is the same after a snapshot', () => {
+  it('decides the same after it is restored from a snapshot', () => {
     fc.assert(fc.property(fc.array(crash, { maxLength: 12 }), fc.array(crash, { maxLength: 6 }), (before, after) => {
       const first = evidenceOf(before)
       first.judge()
@@ -53,8 +52,8 @@
   })
 })
 
-describe('what is kept', () => {
-  it('stays bounded, whatever comes', () => {
+describe('the stored crash evidence', () => {
+  it('keeps a bounded number of crashes and of requests for each', () => {
     const evidence = new CrashEvidence()
     for (let index = 0; index < 3000; index += 1) {
       const requests = Array.from({ length: 200 }, (_unused, number) => `r-${index}-${number}`)
@@ -65,7 +64,7 @@
     expect(evidence.suspects).toBe(128 * 128)
   })
 
-  it('holds a bounded number of requests, the newest', () => {
+  it('keeps a bounded number of quarantined requests and releases the oldest', () => {
     const evidence = new CrashEvidence()
     let released = 0
     for (let request = 0; request < 1100; request += 1) {
@@ -77,7 +76,7 @@
     expect(evidence.held.has('r-1099')).toBe(true)
   })
 
-  it('is cleared of a request that has run well, also of one that is held', () => {
+  it('no longer contains a request that completed without a crash, even if it was quarantined', () => {
     const evidence = evidenceOf(['i-1', 'i-2', 'i-3'].map((endpoint) => ({ endpoint, requests: ['a'] })))
     evidence.judge()
     expect(evidence.clear(['a', 'b'])).toEqual(['a'])
@@ -85,7 +84,7 @@
     expect(evidence.crashesOf('a')).toBe(0)
   })
 
-  it('is tried again once it is released, and held again with the next crash', () => {
+  it('quarantines a released request again with the next crash', () => {
     const evidence = evidenceOf(['i-1', 'i-2', 'i-3'].map((endpoint) => ({ endpoint, requests: ['a'] })))
     evidence.judge()
     expect(evidence.release(['a'])).toEqual(['a'])
--- a/routing/quarantine/test/fingerprint.test.ts
+++ b/routing/quarantine/test/fingerprint.test.ts
@@ -15,7 +15,7 @@
     ['another path', { path: '/draft/1?x=3' }],
     ['another body', { body: Buffer.from('a note.') }],
     ['no body', { body: undefined }],
-    ['a part that runs over into the next', { organisation: 'workshopP', method: 'OST' }]
+    ['the same text divided differently into parts', { organisation: 'workshopP', method: 'OST' }]
   ])('differs for %s', (_what, change) => {
     expect(fingerprintOf({ ...request, ...change })).not.toBe(fingerprintOf(request))
   })
--- a/routing/rates/src/index.ts
+++ b/routing/rates/src/index.ts
@@ -1,4 +1,4 @@
-/** Bounds on the requests of one endpoint within a time. */
+/** Rate limits of one endpoint: bounds on the requests sent within a time window. */
 export * from './limit-word.ts'
 export * from './rate-bound.ts'
 export * from './rate-meter.ts'
--- a/routing/rates/src/limit-word.ts
+++ b/routing/rates/src/limit-word.ts
@@ -1,22 +1,28 @@
 /**
- * What an endpoint said last of the requests a second that it takes. A word was made between the moment in which its request was
- * sent and the one in which its head arrived; heads cross, and are told on by several boxes.
+ * The rate limit that an endpoint advertises in its response headers. The endpoint stated the limit at some time between the
+ * sending of the request and the arrival of the response headers. Responses may overtake each other and reach several boxes,
+ * so the order in which limits arrive is not the order in which they were stated.
  */
 
-/** A word as it is held in one process, by its monotonic clock. */
+/** An advertised limit. Times are in ms of this process's monotonic clock. */
 export interface HeldLimit {
-  /** Requests a second; none where it named no limit any more. */
+  /** Requests per second; undefined if the endpoint no longer advertises a limit. */
   perSecond: number | undefined
+  /** When the request was sent. */
   sentAt: number
+  /** When the response headers arrived. */
   heardAt: number
 }
 
-/** Gives which of two words of one life holds: the one that was surely made later, else the stricter one. */
-export function laterLimit (known: HeldLimit | undefined, word: HeldLimit): HeldLimit | undefined {
-  if (known === undefined) return word.perSecond === undefined ? undefined : word
-  if (word.sentAt >= known.heardAt) return word
-  if (known.sentAt >= word.heardAt) return known
-  const rates = [known, word].map(({ perSecond = Infinity }) => perSecond) as [number, number]
-  if (rates[0] !== rates[1]) return rates[0] < rates[1] ? known : word
-  return word.heardAt > known.heardAt ? word : known
+/**
+ * Selects the limit in force from two limits of one incarnation of an endpoint: the limit that is certainly more recent, or else
+ * the stricter limit.
+ */
+export function laterLimit (known: HeldLimit | undefined, received: HeldLimit): HeldLimit | undefined {
+  if (known === undefined) return received.perSecond === undefined ? undefined : received
+  if (received.sentAt >= known.heardAt) return received
+  if (known.sentAt >= received.heardAt) return known
+  const rates = [known, received].map(({ perSecond = Infinity }) => perSecond) as [number, number]
+  if (rates[0] !== rates[1]) return rates[0] < rates[1] ? known : received
+  return received.heardAt > known.heardAt ? received : known
 }
--- a/routing/rates/src/rate-bound.ts
+++ b/routing/rates/src/rate-bound.ts
@@ -1,35 +1,39 @@
-/** Bounds on how many requests are sent to one endpoint. */
+/** Bounds on the number of requests sent to one endpoint. */
 
-/** At most so many requests within any span of time of this length. */
+/** At most `requests` requests within any time window of `windowMs`. */
 export interface RateBound {
   requests: number
   windowMs: number
-  /** Within each such part of the window the same part of the requests is sent, so that an endpoint has its work evenly. */
+  /** The window is divided into this number of segments, and the requests are spread evenly over them. */
   parts: number
-  /** How many more than that, since requests do not come evenly. */
+  /** The requests that one segment allows beyond its even share, since arrivals are uneven. */
   extra: number
 }
 
-/** The most requests within one part of the window. */
+/** Returns the maximum number of requests within one segment of the window. */
 export function mostInPart ({ requests, parts, extra }: RateBound): number {
   return Math.min(requests, Math.ceil(requests / parts) + extra)
 }
 
-/** Over any time of this length an endpoint gets no more than it named, in ms; longer only where it named less than one request in it. */
+/** The window over which an advertised limit is kept, in ms. It is longer only if the limit is below one request per window. */
 export const LIMIT_WINDOW_MS = 4000
 /**
- * An endpoint that names less than this is sent so many requests a second all the same: only an answer can tell that its limit
- * is over, and nobody would ask it any more.
+ * The lowest rate that is applied, in requests per second. An endpoint that advertises less still receives this many requests,
+ * since only a response can lift its limit.
  */
 export const LEAST_PER_SECOND = 0.1
-/** An endpoint that names more than this is not counted, in requests a second: it is more than any single one is ever sent. */
+/** Limits above this rate, in requests per second, are ignored: no single endpoint receives more requests. */
 export const MOST_COUNTED_PER_SECOND = 10_000
 
 const MS_PER_SECOND = 1000
 const LIMIT_PARTS = 4
 const LIMIT_EXTRA = 1
 
-/** The bound of an endpoint that takes so many requests a second; undefined where that bounds nothing. Requests are whole. */
+/**
+ * Creates the bound for a limit in requests per second. The requests per window are rounded up, and the window is lengthened to
+ * match the rate.
+ * @returns undefined if the limit is too high to be applied
+ */
 export function boundOfRate (perSecond: number): RateBound | undefined {
   if (perSecond > MOST_COUNTED_PER_SECOND) return undefined
   const rate = Math.max(perSecond, LEAST_PER_SECOND)
--- a/routing/rates/src/rate-meter.ts
+++ b/routing/rates/src/rate-meter.ts
@@ -1,21 +1,22 @@
-/** The meter of a process that is the only way to an endpoint, so that nobody else shares its limit. */
+/** Applies an endpoint's advertised limit in a process that sends all of the endpoint's requests, so that the limit is not shared. */
 import { boundOfRate, type RateBound } from './rate-bound.ts'
 import { SendLog } from './send-log.ts'
 
-/** The endpoint's clock may run by this share faster than the one here. */
+/** The endpoint's clock may run faster than the local clock by this fraction. */
 const CLOCK_MARGIN = 0.025
-/** For so long a request is kept, in ms: a limit that is lowered may have a longer window. */
-const KEPT_MS = 12_000
+/** The minimum time that sent requests are kept, in ms: a lowered limit may have a longer window. */
+const MIN_KEEP_MS = 12_000
 
 export class RateMeter {
   private log = new SendLog()
   private bound: RateBound | undefined
-  /** What the endpoint named last, in requests a second. */
+  /** The advertised limit in requests per second; undefined if there is none. */
   perSecond: number | undefined
 
   /**
-   * Takes the endpoint's word: requests a second, or none. Gives whether that is news. What was sent before it named a limit is not
-   * held against it: it would be sent nothing for a window just then.
+   * Sets the limit in requests per second, or removes it. Requests sent before the first limit do not count: otherwise the
+   * endpoint might receive no requests for a whole window.
+   * @returns true if the limit changed
    */
   limit (perSecond: number | undefined): boolean {
     if (perSecond === this.perSecond) return false
@@ -30,25 +31,25 @@
     return this.bound !== undefined
   }
 
-  /** How many requests may be sent now; no bound where the endpoint named none. */
+  /** The number of requests that may be sent now; `Infinity` without a limit. */
   free (now: number): number {
     return this.bound === undefined ? Infinity : this.log.free(this.bound, now)
   }
 
-  /** The whole bound; no bound where the endpoint named none. */
+  /** The number of requests per window; `Infinity` without a limit. */
   get most (): number {
     return this.bound?.requests ?? Infinity
   }
 
-  /** After which time more may be sent, in ms; 0 where some may be sent now. */
+  /** The time in ms until a request may be sent; 0 if one may be sent now. */
   waitMs (now: number): number {
     return this.bound === undefined || this.free(now) > 0 ? 0 : this.log.untilFree(this.bound, now)
   }
 
-  /** Notes a request that is sent now. */
+  /** Records a request that is sent now. */
   note (now: number): void {
     if (this.bound === undefined) return
-    this.log.forgetBefore(now - Math.max(KEPT_MS, this.bound.windowMs))
+    this.log.forgetBefore(now - Math.max(MIN_KEEP_MS, this.bound.windowMs))
     this.log.add(1, now)
   }
 }
--- a/routing/rates/src/send-log.ts
+++ b/routing/rates/src/send-log.ts
@@ -1,52 +1,53 @@
-/** What was sent to one endpoint, or granted to be sent, and how much of a bound is left. */
+/** The requests that were sent to one endpoint, or granted, and the requests that remain under a bound. */
 import { mostInPart, type RateBound } from './rate-bound.ts'
 
-interface Sent {
+interface SendEntry {
   at: number
   requests: number
 }
 
+/** All times are in ms of one monotonic clock. */
 export class SendLog {
   /** Oldest first. */
-  private sent: Sent[] = []
+  private entries: SendEntry[] = []
 
   add (requests: number, now: number): void {
-    this.sent.push({ at: now, requests })
+    this.entries.push({ at: now, requests })
   }
 
-  /** Forgets what is older than the longest window that is still asked about. */
+  /** Drops the entries from before `at`, which must be older than the longest window still in use. */
   forgetBefore (at: number): void {
-    const [first] = this.sent
-    if (first !== undefined && first.at < at) this.sent = this.sent.filter((entry) => entry.at >= at)
+    const [first] = this.entries
+    if (first !== undefined && first.at < at) this.entries = this.entries.filter((entry) => entry.at >= at)
   }
 
   /**
-   * Counts as much as somebody else may have sent within the bound until a time, as late as it may have been: whatever was sent in
-   * truth, no window that ends later holds more of it.
+   * Counts the requests that another sender may have sent under the bound until the time `until`, at the latest times that the
+   * bound allows. No window that ends later contains more of the other sender's requests than are counted here.
    */
   assumeUsed (bound: RateBound, until: number): void {
-    const assumed: Sent[] = []
-    for (let part = 0, left = bound.requests; left > 0; part += 1) {
-      const requests = Math.min(left, mostInPart(bound))
-      assumed.unshift({ at: until - part * bound.windowMs / bound.parts, requests })
-      left -= requests
+    const assumed: SendEntry[] = []
+    for (let segment = 0, uncounted = bound.requests; uncounted > 0; segment += 1) {
+      const requests = Math.min(uncounted, mostInPart(bound))
+      assumed.unshift({ at: until - segment * bound.windowMs / bound.parts, requests })
+      uncounted -= requests
     }
-    this.sent = [...assumed, ...this.sent].sort((left, right) => left.at - right.at)
+    this.entries = [...assumed, ...this.entries].sort((left, right) => left.at - right.at)
   }
 
-  /** How many more may be sent now, over the whole window and over its latest part. */
+  /** The number of requests that may be sent now, limited by the whole window and by its latest segment. */
   free (bound: RateBound, now: number): number {
     const { requests, windowMs, parts } = bound
-    return Math.max(0, Math.min(requests - this.since(now - windowMs), mostInPart(bound) - this.since(now - windowMs / parts)))
+    return Math.max(0, Math.min(requests - this.countSince(now - windowMs), mostInPart(bound) - this.countSince(now - windowMs / parts)))
   }
 
-  /** When what was sent next ceases to count, in ms from now; the whole window where nothing does. */
+  /** The time in ms until the next entry leaves the latest segment or the window; the window's length if there is none. */
   untilFree ({ windowMs, parts }: RateBound, now: number): number {
-    const waits = this.sent.flatMap(({ at }) => [at + windowMs / parts - now, at + windowMs - now])
+    const waits = this.entries.flatMap(({ at }) => [at + windowMs / parts - now, at + windowMs - now])
     return Math.min(windowMs, ...waits.filter((ms) => ms > 0))
   }
 
-  private since (at: number): number {
-    return this.sent.reduce((sum, entry) => entry.at >= at ? sum + entry.requests : sum, 0)
+  private countSince (at: number): number {
+    return this.entries.reduce((sum, entry) => entry.at >= at ? sum + entry.requests : sum, 0)
   }
 }
--- a/routing/rates/test/rates.test.ts
+++ b/routing/rates/test/rates.test.ts
@@ -4,22 +4,22 @@
 
 const SEED = Number(process.env['FUZZ_SEED'] ?? 20_264)
 
-describe('the bound of a limit', () => {
+describe('the rate bound of an advertised limit', () => {
   it.each([
     [1, 4, 4000], [20, 80, 4000], [0.25, 1, 4000], [0.1, 1, 10_000], [0, 1, 10_000], [0.01, 1, 10_000], [1.2, 5, 5 / 1.2 * 1000],
     [10_000, 40_000, 4000]
-  ])('of %d a second is %d requests within %d ms', (perSecond, requests, windowMs) => {
+  ])('of %d requests per second is %d requests within %d ms', (perSecond, requests, windowMs) => {
     const bound = boundOfRate(perSecond)
     expect(bound?.requests).toBe(requests)
     expect(bound?.windowMs).toBeCloseTo(windowMs)
   })
 
-  it('is none where it is more than any endpoint is ever sent', () => {
+  it('is undefined above the highest metered rate', () => {
     expect(boundOfRate(10_001)).toBeUndefined()
     expect(boundOfRate(1e300)).toBeUndefined()
   })
 
-  it('is never more than the rate over four seconds, in whole requests, and the rate in the long run', () => {
+  it('allows at most the rate over one window, rounded up to whole requests, and exactly the rate on average', () => {
     fc.assert(fc.property(fc.double({ min: 0, max: 10_000, noNaN: true }), (perSecond) => {
       const bound = boundOfRate(perSecond)
       const rate = Math.max(perSecond, LEAST_PER_SECOND)
@@ -29,10 +29,10 @@
   })
 })
 
-describe('the log of what was sent', () => {
+describe('the send log', () => {
   const bound = { requests: 4, windowMs: 4000, parts: 2, extra: 0 }
 
-  it('frees a part of the bound in each part of the window, and says when', () => {
+  it('allows a share of the requests in each segment of the window, and returns the time until more are allowed', () => {
     const log = new SendLog()
     expect(log.free(bound, 0)).toBe(2)
     log.add(2, 0)
@@ -46,9 +46,9 @@
     expect(new SendLog().free({ ...bound, extra: 9 }, 0)).toBe(4)
   })
 
-  it('that assumes what another one has let through never lets more through together with it', () => {
-    const any = fc.record({ perSecond: fc.constantFrom(0.3, 1, 3, 20), gaps: fc.array(fc.nat(400), { minLength: 50, maxLength: 200, size: 'max' }) })
-    fc.assert(fc.property(any, fc.nat(6000), fc.nat(500), ({ perSecond, gaps }, handedOverAt, pauseMs) => {
+  it('never exceeds the bound together with the log of a previous sender whose full use it assumes', () => {
+    const load = fc.record({ perSecond: fc.constantFrom(0.3, 1, 3, 20), gaps: fc.array(fc.nat(400), { minLength: 50, maxLength: 200, size: 'max' }) })
+    fc.assert(fc.property(load, fc.nat(6000), fc.nat(500), ({ perSecond, gaps }, handedOverAt, pauseMs) => {
       const limit = boundOfRate(perSecond) as RateBound
       const logs = [new SendLog(), new SendLog()] as const
       logs[1].assumeUsed(limit, handedOverAt)
@@ -68,30 +68,30 @@
   })
 })
 
-describe('the meter of the only way to an endpoint', () => {
-  it('never lets more than the rate through over any four seconds, whatever is named when, and is used in full', () => {
-    const step = fc.record({ afterMs: fc.nat(300), word: fc.option(fc.constantFrom(undefined, 0, 0.5, 1, 5, 20), { freq: 30 }) })
+describe('the rate meter', () => {
+  it('never allows more than the limit over any window while limits change, and allows nearly all of a constant limit', () => {
+    const step = fc.record({ afterMs: fc.nat(300), newLimit: fc.option(fc.constantFrom(undefined, 0, 0.5, 1, 5, 20), { freq: 30 }) })
     fc.assert(fc.property(fc.array(step, { minLength: 100, maxLength: 400, size: 'max' }), (steps) => {
       const meter = new RateMeter()
       meter.limit(1)
-      let namedAt = 0
+      let limitedAt = 0
       let perSecond: number | undefined = 1
       let sent: number[] = []
       let now = 0
-      for (const { afterMs, word } of steps) {
+      for (const { afterMs, newLimit } of steps) {
         now += afterMs
-        if (word !== null) {
-          meter.limit(word)
-          // What was sent before the word is not held against it.
-          if (perSecond !== word) { namedAt = now; sent = [] }
-          perSecond = word
+        if (newLimit !== null) {
+          meter.limit(newLimit)
+          // Requests sent before the change do not count against the new limit.
+          if (perSecond !== newLimit) { limitedAt = now; sent = [] }
+          perSecond = newLimit
         }
         if (meter.free(now) < 1) continue
         meter.note(now)
         sent.push(now)
         if (perSecond === undefined) continue
-        const most = Math.max(1, Math.ceil(perSecond * LIMIT_WINDOW_MS / 1000))
-        expect(sent.filter((at) => at > Math.max(namedAt, now - LIMIT_WINDOW_MS)).length).toBeLessThanOrEqual(most)
+        const maxRequests = Math.max(1, Math.ceil(perSecond * LIMIT_WINDOW_MS / 1000))
+        expect(sent.filter((at) => at > Math.max(limitedAt, now - LIMIT_WINDOW_MS)).length).toBeLessThanOrEqual(maxRequests)
       }
     }), { seed: SEED })
     const meter = new RateMeter()
