--- a/routing/dispatcher/src/demand-sender.ts
+++ b/routing/dispatcher/src/demand-sender.ts
@@ -1,48 +1,47 @@
 /**
- * Keeps the reservations at the sidecars in step with the queue. A summary is
- * sent when waiting work appears or vanishes, or its amount has moved by a
- * quarter: messages do not grow with the request rate.
+ * Sends summaries of the queue to the sidecars. A summary is sent when a group of requests starts or stops waiting, or when its
+ * size changes by more than a quarter, so that the number of messages does not grow with the request rate.
  */
 import { type GroupSummary } from '@gullwall/routing.fair-queue'
 import { type DemandRow } from '@gullwall/transport.messages'
 import { type EndpointView, type RoutedRequest, type SidecarPort } from './types.ts'
 
-/** A group's waiting work and the endpoints it may be offered. */
+/** The waiting requests of a group, and the endpoints they may use. */
 export interface GroupDemand extends GroupSummary<RoutedRequest> {
   endpoints: readonly EndpointView[]
 }
 
-/** The least time between two summaries to the sidecars, in ms. */
+/** The minimum time between two summaries, in ms. */
 const MIN_INTERVAL_MS = 5
-/** Coarser steps leave slots idle for a round trip, and then fill them in bursts that disturb the streams that run. */
+/** The relative change of a count that is not sent. With a larger one slots stay idle for a round trip and are then filled in bursts. */
 const COUNT_TOLERANCE = 0.25
 
 export class DemandSender {
-  /** What each sidecar believes, by group. */
-  private readonly believed = new Map<SidecarPort, Map<string, DemandRow>>()
+  /** The summary that each sidecar has, by row index; offers have been subtracted as the sidecar subtracts them. */
+  private readonly sentRows = new Map<SidecarPort, Map<string, DemandRow>>()
   private timer: NodeJS.Timeout | undefined
-  private lastFlush = -Infinity
+  private lastFlushAt = -Infinity
 
   constructor (
-    private readonly demands: () => GroupDemand[],
-    private readonly ports: () => SidecarPort[],
-    /** How many endpoints a sidecar has. */
-    private readonly endpointCount: (port: SidecarPort) => number
+    private readonly listDemands: () => GroupDemand[],
+    private readonly listPorts: () => SidecarPort[],
+    /** Counts the endpoints of a sidecar. */
+    private readonly countEndpoints: (port: SidecarPort) => number
   ) {}
 
-  /** Sends soon; calls in the meantime are joined. */
+  /** Schedules a flush unless one is already scheduled. */
   schedule (): void {
     if (this.timer !== undefined) return
-    const wait = Math.max(0, this.lastFlush + MIN_INTERVAL_MS - performance.now())
+    const waitMs = Math.max(0, this.lastFlushAt + MIN_INTERVAL_MS - performance.now())
     this.timer = setTimeout(() => {
       this.timer = undefined
       this.flush()
-    }, wait)
+    }, waitMs)
   }
 
-  /** An offer takes one request off the summary at the sidecar. */
+  /** Records an offer, for which the sidecar has subtracted one request from its summary. */
   noteOffer (port: SidecarPort, className: string): void {
-    for (const row of this.believed.get(port)?.values() ?? []) {
+    for (const row of this.sentRows.get(port)?.values() ?? []) {
       if (row.class !== className || row.count === 0) continue
       row.count -= 1
       return
@@ -50,7 +49,7 @@
   }
 
   forget (port: SidecarPort): void {
-    this.believed.delete(port)
+    this.sentRows.delete(port)
   }
 
   stop (): void {
@@ -58,40 +57,41 @@
   }
 
   private flush (): void {
-    this.lastFlush = performance.now()
-    const demands = this.demands()
-    for (const port of this.ports()) {
-      const rows = rowsFor(port, demands, this.endpointCount(port))
-      if (!differs(rows, this.believed.get(port))) continue
-      this.believed.set(port, new Map(rows.map((row, index) => [`${index}`, { ...row }])))
+    this.lastFlushAt = performance.now()
+    const demands = this.listDemands()
+    for (const port of this.listPorts()) {
+      const rows = createRows(port, demands, this.countEndpoints(port))
+      if (!hasChanged(rows, this.sentRows.get(port))) continue
+      this.sentRows.set(port, new Map(rows.map((row, index) => [`${index}`, { ...row }])))
       port.sendDemand(rows)
     }
   }
 }
 
-function rowsFor (port: SidecarPort, demands: readonly GroupDemand[], endpointCount: number): DemandRow[] {
+/** Creates the summary for one sidecar; an empty list of endpoints in a row stands for all of the sidecar's endpoints. */
+function createRows (port: SidecarPort, demands: readonly GroupDemand[], endpointCount: number): DemandRow[] {
   const rows: DemandRow[] = []
   for (const demand of demands) {
     const endpoints = demand.endpoints.filter((view) => view.sidecar === port).map((view) => view.description.name)
     if (endpoints.length === 0) continue
     const { class: className, tier, sample, count, organisations } = demand
-    const named = endpoints.length === endpointCount ? [] : endpoints
-    rows.push({ class: className, tier, floor: sample.floor, count, organisations, endpoints: named })
+    const listed = endpoints.length === endpointCount ? [] : endpoints
+    rows.push({ class: className, tier, floor: sample.floor, count, organisations, endpoints: listed })
   }
   return rows
 }
 
-function differs (rows: readonly DemandRow[], believed: ReadonlyMap<string, DemandRow> | undefined): boolean {
-  if (rows.length !== (believed?.size ?? 0)) return true
+function hasChanged (rows: readonly DemandRow[], sentRows: ReadonlyMap<string, DemandRow> | undefined): boolean {
+  if (rows.length !== (sentRows?.size ?? 0)) return true
   return rows.some((row, index) => {
-    const before = believed?.get(`${index}`)
-    if (before === undefined || before.class !== row.class) return true
-    if (before.endpoints.join() !== row.endpoints.join()) return true
-    return countDiffers(row.count, before.count)
+    const sent = sentRows?.get(`${index}`)
+    if (sent === undefined || sent.class !== row.class) return true
+    if (sent.endpoints.join() !== row.endpoints.join()) return true
+    return hasCountChanged(row.count, sent.count)
   })
 }
 
-function countDiffers (now: number, before: number): boolean {
-  if ((now === 0) !== (before === 0)) return true
-  return Math.abs(now - before) > COUNT_TOLERANCE * before
+function hasCountChanged (current: number, sent: number): boolean {
+  if ((current === 0) !== (sent === 0)) return true
+  return Math.abs(current - sent) > COUNT_TOLERANCE * sent
 }
--- a/routing/dispatcher/src/dispatcher.ts
+++ b/routing/dispatcher/src/dispatcher.ts
@@ -1,7 +1,6 @@
 /**
- * The dispatcher of an entry. A request is granted an endpoint at once where a
- * slot is known to be free and nobody of its tier or higher waits for it; else
- * it waits until a sidecar offers a slot. It is bound only then.
+ * The dispatcher of an entry. A request is assigned an endpoint at once if a slot is known to be free and no request of the same
+ * or a higher tier waits for it. Otherwise it waits until a sidecar offers a slot, and is bound to an endpoint only then.
  */
 import { EventEmitter } from 'node:events'
 import { Either, Left, Right } from 'purify-ts'
@@ -24,14 +23,14 @@
   records: RecordMap
   logger: Logger
   maxQueued: number
-  /** Binds each request when it arrives, for the baselines. */
+  /** Chooses an endpoint when a request arrives, instead of waiting for a free slot. Used to measure baselines. */
   bindEarly?: (candidates: readonly EndpointView[]) => EndpointView | undefined
 }
 
 export type GrantResult = Either<Refusal, Grant>
 
 export interface SubmitOptions {
-  /** The request ran in part or was turned away by an endpoint: it goes ahead of its organisation's others. */
+  /** Queues the request ahead of its organisation's others: it ran in part or was rejected by an endpoint. */
   front?: boolean
 }
 
@@ -42,42 +41,42 @@
   timer: NodeJS.Timeout | undefined
 }
 
-const UPKEEP_MS = 25
-const HEALTH_EVERY_MS = 250
+const MAINTENANCE_INTERVAL_MS = 25
+const HEALTH_CHECK_INTERVAL_MS = 250
 const MIN_RETRY_AFTER_MS = 1000
-/** The queue may grow to so many times its limit rather than break off an answer. */
-const RESUMED_ROOM_FACTOR = 2
+/** The queue may grow to this multiple of its limit before a request that ran in part is shed. */
+const MAX_QUEUE_GROWTH_FACTOR = 2
 
 export class Dispatcher {
   readonly directory: EndpointDirectory
   readonly health = new HealthMonitor()
-  /** Emits the name of an endpoint that is put aside, so that its streams go on elsewhere. */
+  /** Emits the name of each ejected endpoint, so that its streams resume elsewhere. */
   readonly ejections = new EventEmitter().setMaxListeners(0)
   private readonly queue = new FairQueue<RoutedRequest>()
   private readonly waiters = new Map<string, Waiter>()
   private readonly demand: DemandSender
   private readonly preemption: PreemptionPlanner
-  private readonly estimate = new WaitEstimate()
+  private readonly waitEstimate = new WaitEstimate()
   private readonly costs = new RunCosts()
   private timer: NodeJS.Timeout | undefined
   private healthCheckedAt = 0
-  private stopping = false
+  private isStopping = false
 
   constructor (private readonly options: DispatcherOptions) {
     this.directory = new EndpointDirectory(options.records)
     this.demand = new DemandSender(
-      () => this.demands(), () => this.directory.ports(), (port) => this.directory.endpointCount(port)
+      () => this.listDemands(), () => this.directory.ports(), (port) => this.directory.endpointCount(port)
     )
     this.preemption = new PreemptionPlanner(options.dataCentre)
   }
 
   start (): void {
-    this.timer = setInterval(() => this.upkeep(), UPKEEP_MS)
+    this.timer = setInterval(() => this.runMaintenance(), MAINTENANCE_INTERVAL_MS)
   }
 
-  /** Refuses what still waits. */
+  /** Refuses all waiting requests. */
   stop (): void {
-    this.stopping = true
+    this.isStopping = true
     clearInterval(this.timer)
     this.demand.stop()
     for (const waiter of [...this.waiters.values()]) {
@@ -89,13 +88,13 @@
     return this.queue.size
   }
 
-  /** Whether a request waits, and behind how many of its tier or a higher one. */
+  /** Counts the requests of the same or a higher tier ahead of a request; undefined if the request is not waiting. */
   waitingBehind (request: RoutedRequest): number | undefined {
     if (!this.waiters.has(request.id)) return undefined
-    return this.queue.countAhead(request.tier, this.sharingGroups(request)) - 1
+    return this.queue.countAhead(request.tier, this.findCompetingGroups(request)) - 1
   }
 
-  /** Waiting requests by class. */
+  /** The number of waiting requests by class. */
   queuedByClass (): Map<string, number> {
     const counts = new Map<string, number>()
     for (const summary of this.queue.summaries()) {
@@ -104,30 +103,30 @@
     return counts
   }
 
-  /** Gives a request an endpoint, now or later, or refuses it. A refused request was not run. */
+  /** Resolves with an endpoint for a request, or with a refusal. A refused request was not run. */
   submit (request: RoutedRequest, options: SubmitOptions = {}): Promise<GrantResult> {
     const now = performance.now()
-    if (this.stopping) return Promise.resolve(Left({ reason: 'stopping', why: 'this entry is stopping', retryAfterMs: MIN_RETRY_AFTER_MS }))
-    this.estimate.noteArrival(request.tier, now)
+    if (this.isStopping) return Promise.resolve(Left({ reason: 'stopping', why: 'this entry is stopping', retryAfterMs: MIN_RETRY_AFTER_MS }))
+    this.waitEstimate.noteArrival(request.tier, now)
     const granted = this.grantNow(request)
     if (granted !== undefined) return Promise.resolve(Right(granted))
-    const tooLong = options.front === true ? undefined : this.refuseEarly(request, now)
-    if (tooLong !== undefined) return Promise.resolve(Left(tooLong))
+    const earlyRefusal = options.front === true ? undefined : this.refuseEarly(request, now)
+    if (earlyRefusal !== undefined) return Promise.resolve(Left(earlyRefusal))
     return this.enqueue(request, options)
   }
 
-  /** Takes back a request whose caller has gone. */
+  /** Cancels a waiting request whose caller has disconnected. */
   cancel (request: RoutedRequest): void {
     const waiter = this.waiters.get(request.id)
     if (waiter === undefined) return
-    this.refuse(waiter, { reason: 'cancelled', why: 'the caller has gone', retryAfterMs: 0 })
+    this.refuse(waiter, { reason: 'cancelled', why: 'the caller disconnected', retryAfterMs: 0 })
   }
 
-  /** A sidecar offers a free slot; it goes to whichever request is best by now. */
+  /** Handles a sidecar's offer of a free slot: the best waiting request takes it, or the offer is declined. */
   takeOffer (port: SidecarPort, offer: Offer): void {
     this.demand.noteOffer(port, offer.class)
     const view = this.directory.get(offer.endpoint)
-    const request = view?.sidecar === port ? this.bestFor(view, offer) : undefined
+    const request = view?.sidecar === port ? this.findBestRequest(view, offer) : undefined
     if (view === undefined || request === undefined) {
       port.sendPass(offer.offerId)
       this.demand.schedule()
@@ -135,13 +134,13 @@
     }
     const waiter = this.waiters.get(request.id)
     if (waiter === undefined) return
-    this.leaveQueue(waiter)
-    const why = offer.floor ? `offered for the floor of ${offer.class}` : 'offered, best waiting'
-    waiter.settle(Right(this.grant(request, view, why, offer.offerId, waiter.queuedAt)))
+    this.removeFromQueue(waiter)
+    const reason = offer.floor ? `slot offered for the floor of ${offer.class}` : 'slot offered; best waiting request'
+    waiter.settle(Right(this.grant(request, view, reason, offer.offerId, waiter.queuedAt)))
     this.demand.schedule()
   }
 
-  /** Must be called once for every grant when the attempt has ended. */
+  /** Ends a grant. It must be called exactly once for each grant, when the attempt has ended. */
   finished (grant: Grant, inTime: boolean): void {
     const view = this.directory.get(grant.endpoint)
     if (view?.sidecar === grant.sidecar) {
@@ -156,14 +155,15 @@
     this.queue.charge(request.tier, request.organisation, request.weight, correction)
   }
 
-  /** An endpoint had no slot after all; none is assumed until it reports one. */
+  /** Records that an endpoint had no free slot. None is assumed until its next load report. */
   noteBusy (endpoint: string): void {
     const view = this.directory.get(endpoint)
     if (view !== undefined) view.load.spare = 0
   }
 
-  setEndpoints (port: SidecarPort, endpoints: readonly EndpointDescription[], leaving: boolean): void {
-    this.directory.setEndpoints(port, endpoints, leaving)
+  /** Replaces the endpoints of a sidecar, which receive no new requests if it is leaving. */
+  setEndpoints (port: SidecarPort, endpoints: readonly EndpointDescription[], isLeaving: boolean): void {
+    this.directory.setEndpoints(port, endpoints, isLeaving)
     this.demand.schedule()
   }
 
@@ -176,18 +176,18 @@
     for (const load of loads) this.directory.updateLoad(port, load)
   }
 
-  /** Must be called when records have changed. */
+  /** Applies changed records. It must be called after each change. */
   recordsChanged (): void {
     this.directory.invalidate()
     this.demand.schedule()
   }
 
-  /** The endpoints a request may use at this moment. */
+  /** Returns the reachable endpoints that are healthy or may be probed, preferably those that have not failed the request. */
   usable (request: RoutedRequest): EndpointView[] {
-    const reach = this.directory.reachOf(request)
-    const fit = reach.filter((view) => this.isUsable(view))
-    const fresh = fit.filter((view) => !request.avoid.has(view.description.name))
-    return fresh.length > 0 ? fresh : fit
+    const reachable = this.directory.reachOf(request)
+    const healthy = reachable.filter((view) => this.isUsable(view))
+    const preferred = healthy.filter((view) => !request.avoid.has(view.description.name))
+    return preferred.length > 0 ? preferred : healthy
   }
 
   private get bindsEarly (): boolean {
@@ -207,66 +207,66 @@
       const chosen = this.options.bindEarly(this.directory.reachOf(request))
       return chosen === undefined ? undefined : this.grant(request, chosen, 'bound on arrival')
     }
-    if (this.queue.hasWaiting(request.tier, this.sharingGroups(request))) return undefined
+    if (this.queue.hasWaiting(request.tier, this.findCompetingGroups(request))) return undefined
     const chosen = chooseSpare(this.usable(request), this.options.dataCentre)
-    return chosen === undefined ? undefined : this.grant(request, chosen, 'slot known free')
+    return chosen === undefined ? undefined : this.grant(request, chosen, 'slot known to be free')
   }
 
-  private grant (request: RoutedRequest, view: EndpointView, why: string, offerId?: string, queuedAt?: number): Grant {
+  private grant (request: RoutedRequest, view: EndpointView, reason: string, offerId?: string, queuedAt?: number): Grant {
     const now = performance.now()
     view.outstanding += 1
     view.probing = this.health.state(view.description.name) === 'probing'
     if (offerId === undefined) view.load.spare = Math.max(0, view.load.spare - 1)
-    this.estimate.noteGrant(request.tier, now)
+    this.waitEstimate.noteGrant(request.tier, now)
     this.queue.charge(request.tier, request.organisation, request.weight, this.costs.assumed(request.class))
     const queuedMs = queuedAt === undefined ? 0 : now - queuedAt
-    return { request, endpoint: view.description.name, sidecar: view.sidecar, offerId, queuedMs, grantedAt: now, why }
+    return { request, endpoint: view.description.name, sidecar: view.sidecar, offerId, queuedMs, grantedAt: now, why: reason }
   }
 
   private refuseEarly (request: RoutedRequest, now: number): Refusal | undefined {
     if (request.late !== 'refuse') return undefined
-    const resting = refuseForRest(request, this.directory.reachOf(request), now)
-    if (resting !== undefined) return { ...resting, retryAfterMs: Math.max(MIN_RETRY_AFTER_MS, resting.retryAfterMs) }
-    const ahead = this.queue.countAhead(request.tier, this.sharingGroups(request))
-    const waitMs = this.estimate.estimateMs(request.tier, request.floor, ahead, now)
+    const refusal = refuseForRest(request, this.directory.reachOf(request), now)
+    if (refusal !== undefined) return { ...refusal, retryAfterMs: Math.max(MIN_RETRY_AFTER_MS, refusal.retryAfterMs) }
+    const ahead = this.queue.countAhead(request.tier, this.findCompetingGroups(request))
+    const waitMs = this.waitEstimate.estimateMs(request.tier, request.floor, ahead, now)
     if (waitMs === undefined || waitMs <= request.maxWaitMs) return undefined
     return {
       reason: 'wait-too-long',
-      why: `${ahead} ahead, about ${Math.round(waitMs)} ms, more than ${request.maxWaitMs} ms`,
+      why: `${ahead} requests ahead; estimated wait ${Math.round(waitMs)} ms, limit ${request.maxWaitMs} ms`,
       retryAfterMs: Math.max(MIN_RETRY_AFTER_MS, waitMs - request.maxWaitMs)
     }
   }
 
   private enqueue (request: RoutedRequest, options: SubmitOptions): Promise<GrantResult> {
-    // A request that comes back has been admitted before.
+    // A resubmitted request has been admitted before and is not subject to the queue limit.
     const isFull = options.front !== true && this.queue.freshSize >= this.options.maxQueued
-    const shed = isFull ? this.makeRoom(request) : undefined
-    if (shed !== undefined) return Promise.resolve(Left(shed))
+    const refusal = isFull ? this.shedForArrival(request) : undefined
+    if (refusal !== undefined) return Promise.resolve(Left(refusal))
     return new Promise((resolve) => {
       const waiter: Waiter = { request, queuedAt: performance.now(), settle: resolve, timer: undefined }
-      if (request.late === 'refuse') waiter.timer = setTimeout(() => this.expire(waiter), this.waitLeft(request))
+      if (request.late === 'refuse') waiter.timer = setTimeout(() => this.expire(waiter), this.computeRemainingWaitMs(request))
       this.waiters.set(request.id, waiter)
       this.queue.push(request, options)
       this.demand.schedule()
     })
   }
 
-  private waitLeft (request: RoutedRequest): number {
+  private computeRemainingWaitMs (request: RoutedRequest): number {
     return Math.max(0, request.arrivedAt + request.maxWaitMs - performance.now())
   }
 
   /**
-   * Sheds the lowest tier present; the arrival itself only if nothing lower waits. An answer that has begun
-   * is broken off for it only when the queue has grown well over its limit.
+   * Sheds a waiting request of the lowest tier, or refuses the arriving request if none of a lower tier waits. A request that
+   * ran in part is shed only at {@link MAX_QUEUE_GROWTH_FACTOR} times the queue's limit; until then the queue grows instead.
    */
-  private makeRoom (request: RoutedRequest): Refusal | undefined {
+  private shedForArrival (request: RoutedRequest): Refusal | undefined {
     const victim = this.queue.victim()
     const refusal: Refusal = {
-      reason: 'queue-full', why: `${this.queue.size} requests wait`, retryAfterMs: MIN_RETRY_AFTER_MS
+      reason: 'queue-full', why: `${this.queue.size} requests are waiting`, retryAfterMs: MIN_RETRY_AFTER_MS
     }
     if (victim === undefined || victim.item.tier <= request.tier) return refusal
-    const mayGrow = victim.isResumed && this.queue.size < this.options.maxQueued * RESUMED_ROOM_FACTOR
-    if (mayGrow) return undefined
+    const canGrow = victim.isResumed && this.queue.size < this.options.maxQueued * MAX_QUEUE_GROWTH_FACTOR
+    if (canGrow) return undefined
     const waiter = this.waiters.get(victim.item.id)
     if (waiter !== undefined) this.refuse(waiter, { ...refusal, why: `shed for a request of tier ${request.tier}` })
     return undefined
@@ -275,22 +275,22 @@
   private expire (waiter: Waiter): void {
     const { request } = waiter
     const retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, restMsOf(this.directory.reachOf(request), performance.now()))
-    this.refuse(waiter, { reason: 'wait-passed', why: `no endpoint within ${request.maxWaitMs} ms`, retryAfterMs })
+    this.refuse(waiter, { reason: 'wait-passed', why: `no endpoint became available within ${request.maxWaitMs} ms`, retryAfterMs })
   }
 
   private refuse (waiter: Waiter, refusal: Refusal): void {
-    this.leaveQueue(waiter)
+    this.removeFromQueue(waiter)
     waiter.settle(Left(refusal))
     this.demand.schedule()
   }
 
-  private leaveQueue (waiter: Waiter): void {
+  private removeFromQueue (waiter: Waiter): void {
     clearTimeout(waiter.timer)
     this.waiters.delete(waiter.request.id)
     this.queue.remove(waiter.request)
   }
 
-  private bestFor (view: EndpointView, offer: Offer): RoutedRequest | undefined {
+  private findBestRequest (view: EndpointView, offer: Offer): RoutedRequest | undefined {
     if (!this.isUsable(view)) return undefined
     const name = view.description.name
     const groups = this.queue.samples().filter((sample) => {
@@ -303,29 +303,29 @@
     return isAvoided ? undefined : best
   }
 
-  /** The groups that compete with a request for at least one endpoint. */
-  private sharingGroups (request: RoutedRequest): Set<string> {
-    const reach = new Set(this.directory.reachOf(request))
-    const sharing = new Set<string>()
+  /** Returns the groups that compete with a request for at least one endpoint. */
+  private findCompetingGroups (request: RoutedRequest): Set<string> {
+    const reachable = new Set(this.directory.reachOf(request))
+    const competing = new Set<string>()
     for (const sample of this.queue.samples()) {
-      if (sample.group === request.group || this.directory.reachOf(sample).some((view) => reach.has(view))) sharing.add(sample.group)
+      if (sample.group === request.group || this.directory.reachOf(sample).some((view) => reachable.has(view))) competing.add(sample.group)
     }
-    return sharing
+    return competing
   }
 
-  private demands (): GroupDemand[] {
+  private listDemands (): GroupDemand[] {
     return this.queue.summaries().map((summary) => {
       const endpoints = this.directory.reachOf(summary.sample).filter((view) => this.isUsable(view))
       return { ...summary, endpoints }
     })
   }
 
-  private upkeep (): void {
+  private runMaintenance (): void {
     const now = performance.now()
     if (this.queue.size > 0) {
-      this.preemption.plan(this.demands(), now)
+      this.preemption.plan(this.listDemands(), now)
     }
-    if (now - this.healthCheckedAt >= HEALTH_EVERY_MS && !this.bindsEarly) {
+    if (now - this.healthCheckedAt >= HEALTH_CHECK_INTERVAL_MS && !this.bindsEarly) {
       this.healthCheckedAt = now
       this.checkHealth(now)
     }
--- a/routing/dispatcher/src/endpoint-directory.ts
+++ b/routing/dispatcher/src/endpoint-directory.ts
@@ -1,6 +1,6 @@
 /**
- * The endpoints an entry can reach through its links, and which of them a
- * request may use. The answer is cached until records, links or labels change.
+ * The endpoints that an entry reaches through its links, and the selection of those that a request may use. Selections are
+ * cached until records, links or labels change.
  */
 import { type EndpointDescription, type EndpointLoad, type Labels } from '@gullwall/core.types'
 import { type RecordMap } from '@gullwall/config.records'
@@ -9,27 +9,28 @@
 
 interface SidecarState {
   port: SidecarPort
-  leaving: boolean
+  isLeaving: boolean
   endpoints: string[]
 }
 
-/** The part of a request that decides its reach. */
+/** The properties of a request that determine which endpoints it may use. */
 export type ReachQuery = Pick<RoutedRequest, 'group' | 'kind' | 'serves' | 'selectors'>
 
 export class EndpointDirectory {
   private readonly sidecars = new Map<string, SidecarState>()
   private readonly views = new Map<string, EndpointView>()
-  private readonly reach = new Map<string, EndpointView[]>()
+  /** The endpoints that requests may use, by group. */
+  private readonly reachCache = new Map<string, EndpointView[]>()
   private leavingBoxes: ReadonlySet<string> = new Set()
 
   constructor (private readonly records: RecordMap) {}
 
-  /** Takes what a sidecar says of its endpoints; a new process under the same name replaces the old one. */
-  setEndpoints (port: SidecarPort, endpoints: readonly EndpointDescription[], leaving: boolean): void {
+  /** Replaces the endpoints of a sidecar. A new process under the same name replaces the old one. */
+  setEndpoints (port: SidecarPort, endpoints: readonly EndpointDescription[], isLeaving: boolean): void {
     const known = this.sidecars.get(port.name)
     if (known !== undefined && known.port !== port) this.removeSidecar(known.port)
     const names = endpoints.map((endpoint) => endpoint.name)
-    this.sidecars.set(port.name, { port, leaving, endpoints: names })
+    this.sidecars.set(port.name, { port, isLeaving, endpoints: names })
     for (const description of endpoints) this.setEndpoint(port, description)
     for (const stale of known?.endpoints ?? []) {
       if (!names.includes(stale)) this.views.delete(stale)
@@ -37,7 +38,7 @@
     this.invalidate()
   }
 
-  /** Forgets a sidecar whose link has closed. */
+  /** Removes a sidecar whose link has closed. */
   removeSidecar (port: SidecarPort): void {
     const known = this.sidecars.get(port.name)
     if (known?.port !== port) return
@@ -48,7 +49,10 @@
     this.invalidate()
   }
 
-  /** Takes a load report; false if the endpoint is not known. */
+  /**
+   * Applies a load report.
+   * @returns false if the endpoint does not belong to the sidecar
+   */
   updateLoad (port: SidecarPort, load: EndpointLoad): boolean {
     const view = this.views.get(load.name)
     if (view?.sidecar !== port) return false
@@ -57,7 +61,7 @@
     return true
   }
 
-  /** Boxes that the platform lists as leaving. */
+  /** Sets the names of the boxes that the platform lists as leaving. */
   setLeavingBoxes (boxes: ReadonlySet<string>): void {
     this.leavingBoxes = boxes
     this.invalidate()
@@ -79,22 +83,22 @@
     return this.sidecars.get(port.name)?.endpoints.length ?? 0
   }
 
-  /** Gives the endpoints that a request may use, whatever their load or health. */
+  /** Returns the endpoints that a request may use, regardless of their load and health. */
   reachOf (query: ReachQuery): readonly EndpointView[] {
-    const cached = this.reach.get(query.group)
+    const cached = this.reachCache.get(query.group)
     if (cached !== undefined) return cached
-    const selectors = query.selectors.map(selectorOf)
+    const selectors = query.selectors.map(parseSelectorOrNone)
     const found = [...this.views.values()].filter((view) => this.isReachable(view, query, selectors))
-    this.reach.set(query.group, found)
+    this.reachCache.set(query.group, found)
     return found
   }
 
-  /** Must be called when records have changed. */
+  /** Clears the cached selections. It must be called after each change of records. */
   invalidate (): void {
-    this.reach.clear()
+    this.reachCache.clear()
   }
 
-  /** What the linked endpoints serve. */
+  /** Returns the models and services of all linked endpoints. */
   served (): Set<string> {
     return new Set([...this.views.values()].map((view) => view.description.serves))
   }
@@ -102,13 +106,13 @@
   private setEndpoint (port: SidecarPort, description: EndpointDescription): void {
     const known = this.views.get(description.name)
     if (known?.sidecar === port) known.description = description
-    else this.views.set(description.name, viewOf(description, port))
+    else this.views.set(description.name, createView(description, port))
   }
 
   private isReachable (view: EndpointView, query: ReachQuery, selectors: readonly Selector[]): boolean {
     const { description, sidecar } = view
     if (description.kind !== query.kind || description.serves !== query.serves) return false
-    if (this.sidecars.get(sidecar.name)?.leaving === true || this.leavingBoxes.has(sidecar.name)) return false
+    if (this.sidecars.get(sidecar.name)?.isLeaving === true || this.leavingBoxes.has(sidecar.name)) return false
     const record = this.records.get('endpoint', description.name)
     if (record?.cordoned === true) return false
     const labels = labelsOf(view, record?.labels ?? {})
@@ -116,12 +120,12 @@
   }
 }
 
-/** The labels of an endpoint: its sidecar's, the operators', and where it stands. */
-export function labelsOf (view: EndpointView, fromRecord: Labels): Labels {
+/** Merges the labels of an endpoint: its sidecar's, then those of the operators' record, then the built-in ones. */
+export function labelsOf (view: EndpointView, recordLabels: Labels): Labels {
   const { description, sidecar } = view
   return {
     ...description.labels,
-    ...fromRecord,
+    ...recordLabels,
     box: sidecar.name,
     dataCentre: sidecar.dataCentre,
     endpoint: description.name,
@@ -129,16 +133,16 @@
   }
 }
 
-function selectorOf (text: string): Selector {
-  // Records are checked when they are accepted; what can't be read all the same reaches nothing.
+function parseSelectorOrNone (text: string): Selector {
+  // Records are validated when they are accepted. A selector that is still invalid matches no endpoint.
   return parseSelector(text).orDefault([{ key: 'unreadable', operator: 'in', values: [] }])
 }
 
-function viewOf (description: EndpointDescription, sidecar: SidecarPort): EndpointView {
-  return { description, sidecar, load: emptyLoad(description.name), restsUntil: 0, outstanding: 0, probing: false }
+function createView (description: EndpointDescription, sidecar: SidecarPort): EndpointView {
+  return { description, sidecar, load: createEmptyLoad(description.name), restsUntil: 0, outstanding: 0, probing: false }
 }
 
-function emptyLoad (name: string): EndpointLoad {
+function createEmptyLoad (name: string): EndpointLoad {
   return {
     name, inFlight: 0, limit: 0, spare: 0, tokenGapMs: 0, firstTokenMs: 0, failuresInRow: 0, reportedInFlight: 0, preemptableTier: -1
   }
--- a/routing/dispatcher/src/index.ts
+++ b/routing/dispatcher/src/index.ts
@@ -1,4 +1,4 @@
-/** The decisions of an entry: which request runs where, which waits, which is refused. */
+/** The routing decisions of an entry: which endpoint runs a request, which requests wait, and which are refused. */
 export * from './types.ts'
 export * from './dispatcher.ts'
 export * from './endpoint-directory.ts'
--- a/routing/dispatcher/src/preemption.ts
+++ b/routing/dispatcher/src/preemption.ts
@@ -1,49 +1,50 @@
 /**
- * Decides when waiting work may take a slot from a stream of a lower tier: when
- * it has waited for a share of its first-token target. The sidecar has the last
- * word, since it alone knows what runs.
+ * Decides when waiting requests may preempt a stream of a lower tier: after they have waited for a fraction of their first-token
+ * target. The sidecar makes the final decision, since only it knows which streams are running.
  */
 import { type GroupDemand } from './demand-sender.ts'
 import { type EndpointView } from './types.ts'
 
-/** A request may preempt once it has waited this share of its first-token target. */
-const PATIENCE = 0.25
-/** How long an order to preempt counts as under way, in ms. */
+/** The fraction of the first-token target after which a request may preempt a stream. */
+const PREEMPTION_DELAY = 0.25
+/** The time for which a preemption order counts as pending, in ms. */
 const ORDER_LIFETIME_MS = 250
 
 export class PreemptionPlanner {
-  private readonly underWay = new Map<string, number[]>()
+  /** The times of pending orders by group. */
+  private readonly pendingOrders = new Map<string, number[]>()
+  /** The time of the latest order by endpoint. */
   private readonly orderedAt = new Map<string, number>()
 
   constructor (private readonly dataCentre: string) {}
 
-  /** Sends at most one order for each waiting request, and one for each endpoint at a time. */
+  /** Sends preemption orders: at most one pending order for each waiting request and for each endpoint. */
   plan (demands: readonly GroupDemand[], now: number): void {
     for (const demand of demands) {
-      if (now - demand.oldestArrivedAt < PATIENCE * demand.sample.firstTokenMs) continue
-      this.orderFor(demand, now)
+      if (now - demand.oldestArrivedAt < PREEMPTION_DELAY * demand.sample.firstTokenMs) continue
+      this.sendOrders(demand, now)
     }
   }
 
-  private orderFor (demand: GroupDemand, now: number): void {
-    const underWay = (this.underWay.get(demand.group) ?? []).filter((at) => now - at < ORDER_LIFETIME_MS)
-    const wanted = demand.count - underWay.length
-    const victims = this.victims(demand, now).slice(0, Math.max(0, wanted))
+  private sendOrders (demand: GroupDemand, now: number): void {
+    const pending = (this.pendingOrders.get(demand.group) ?? []).filter((at) => now - at < ORDER_LIFETIME_MS)
+    const missing = demand.count - pending.length
+    const victims = this.findVictims(demand, now).slice(0, Math.max(0, missing))
     for (const view of victims) {
       view.sidecar.sendPreempt(view.description.name, demand.class, demand.tier)
       this.orderedAt.set(view.description.name, now)
-      underWay.push(now)
+      pending.push(now)
     }
-    this.underWay.set(demand.group, underWay)
+    this.pendingOrders.set(demand.group, pending)
   }
 
-  /** Endpoints with lower-tier streams; the lowest tiers first, then the own data centre. */
-  private victims (demand: GroupDemand, now: number): EndpointView[] {
-    const fit = demand.endpoints.filter((view) => {
-      const last = this.orderedAt.get(view.description.name) ?? -Infinity
-      return view.load.preemptableTier > demand.tier && now - last >= ORDER_LIFETIME_MS
+  /** Returns endpoints with preemptible streams of lower tiers: the lowest tier first, then the same data centre first. */
+  private findVictims (demand: GroupDemand, now: number): EndpointView[] {
+    const candidates = demand.endpoints.filter((view) => {
+      const lastOrderAt = this.orderedAt.get(view.description.name) ?? -Infinity
+      return view.load.preemptableTier > demand.tier && now - lastOrderAt >= ORDER_LIFETIME_MS
     })
-    return fit.sort((left, right) => {
+    return candidates.sort((left, right) => {
       const byTier = right.load.preemptableTier - left.load.preemptableTier
       return byTier !== 0 ? byTier : this.distance(left) - this.distance(right)
     })
--- a/routing/dispatcher/src/rest.ts
+++ b/routing/dispatcher/src/rest.ts
@@ -1,15 +1,15 @@
-/** Requests all of whose endpoints want nothing, by their own word. */
+/** Refuses requests while all their endpoints are in a backoff that they requested. */
 import { type EndpointView, type Refusal, type RoutedRequest } from './types.ts'
 
-/** For how long every one of some endpoints wants nothing, in ms; 0 where one takes work, or there is none. */
+/** Computes the time in ms until the first backoff of some endpoints ends; 0 if one is in no backoff, or there are no endpoints. */
 export function restMsOf (views: readonly EndpointView[], now: number): number {
   if (views.length === 0) return 0
   return Math.max(0, Math.min(...views.map(({ restsUntil }) => restsUntil)) - now)
 }
 
-/** Refuses a request whose wait would be over before any of its endpoints takes work again. */
+/** Refuses a request whose maximum wait ends before the first backoff of its endpoints. */
 export function refuseForRest (request: RoutedRequest, views: readonly EndpointView[], now: number): Refusal | undefined {
-  const restMs = restMsOf(views, now)
-  if (request.late !== 'refuse' || restMs <= request.maxWaitMs - (now - request.arrivedAt)) return undefined
-  return { reason: 'resting', why: `all ${views.length} endpoints want nothing for ${Math.round(restMs)} ms more`, retryAfterMs: restMs }
+  const backoffMs = restMsOf(views, now)
+  if (request.late !== 'refuse' || backoffMs <= request.maxWaitMs - (now - request.arrivedAt)) return undefined
+  return { reason: 'resting', why: `all ${views.length} endpoints are in backoff for ${Math.round(backoffMs)} ms`, retryAfterMs: backoffMs }
 }
--- a/routing/dispatcher/src/run-costs.ts
+++ b/routing/dispatcher/src/run-costs.ts
@@ -1,21 +1,23 @@
 /**
- * What a request costs its organisation's share: the time it holds a slot. The
- * length of an answer is not known beforehand, so the mean of its class is
- * assumed and corrected when the attempt has ended.
+ * The cost that a request adds to its organisation's usage: the time it occupies a slot. Since this time is not known in
+ * advance, the mean of the request's class is charged first and corrected when the attempt has ended.
  */
 
-const FIRST_GUESS_MS = 1000
+const INITIAL_ESTIMATE_MS = 1000
 const SMOOTHING = 0.05
 
 export class RunCosts {
   private readonly meanMs = new Map<string, number>()
 
-  /** The cost assumed for a request of a class, in ms. */
+  /** Estimates the cost of a request of a class, in ms. */
   assumed (className: string): number {
-    return this.meanMs.get(className) ?? FIRST_GUESS_MS
+    return this.meanMs.get(className) ?? INITIAL_ESTIMATE_MS
   }
 
-  /** Takes a measured cost into the mean and gives its difference to what was assumed. */
+  /**
+   * Records a measured cost.
+   * @returns the difference from the estimate before the measurement, in ms
+   */
   settle (className: string, actualMs: number): number {
     const correction = actualMs - this.assumed(className)
     this.meanMs.set(className, this.assumed(className) + SMOOTHING * correction)
--- a/routing/dispatcher/src/straight-path.ts
+++ b/routing/dispatcher/src/straight-path.ts
@@ -1,29 +1,28 @@
-/** The straight path: choosing among endpoints whose slots are known to be free. */
+/** The choice among endpoints whose slots are known to be free, without waiting for an offer. */
 import { type EndpointView } from './types.ts'
 
 /**
- * Chooses an endpoint with a spare slot, in the own data centre first. Of two
- * taken at random the one with the larger free share wins, so that entries with
- * the same picture do not all choose the same endpoint.
+ * Chooses an endpoint with a spare slot, preferably in the same data centre. It takes two at random and chooses the one with the
+ * larger fraction of free slots, so that entries with the same state do not all choose the same endpoint.
  */
 export function chooseSpare (candidates: readonly EndpointView[], dataCentre: string): EndpointView | undefined {
   const spare = candidates.filter((view) => view.load.spare > 0)
   const local = spare.filter((view) => view.sidecar.dataCentre === dataCentre)
-  return betterOfTwo(local.length > 0 ? local : spare)
+  return chooseBetterOfTwo(local.length > 0 ? local : spare)
 }
 
-function betterOfTwo (views: readonly EndpointView[]): EndpointView | undefined {
+function chooseBetterOfTwo (views: readonly EndpointView[]): EndpointView | undefined {
   const first = pickOne(views)
   const second = pickOne(views)
   if (first === undefined || second === undefined) return first
-  return freeShare(second) > freeShare(first) ? second : first
+  return computeFreeShare(second) > computeFreeShare(first) ? second : first
 }
 
-function freeShare (view: EndpointView): number {
+function computeFreeShare (view: EndpointView): number {
   return view.load.spare / Math.max(1, view.load.limit)
 }
 
-/** One of some items, at random. */
+/** Picks a random item; undefined if there are none. */
 export function pickOne<T> (items: readonly T[]): T | undefined {
   return items[Math.floor(Math.random() * items.length)]
 }
--- a/routing/dispatcher/src/types.ts
+++ b/routing/dispatcher/src/types.ts
@@ -1,45 +1,49 @@
-/** What goes into the dispatcher and what comes out. */
+/** The inputs and results of the dispatcher. */
 import { type EndpointDescription, type EndpointKind, type EndpointLoad, type Tier } from '@gullwall/core.types'
 import { type QueueItem } from '@gullwall/routing.fair-queue'
 import { type DemandRow } from '@gullwall/transport.messages'
 
-/** A request with all that a decision needs. */
+/** A request with the properties that routing decisions need. */
 export interface RoutedRequest extends QueueItem {
   kind: EndpointKind
-  /** The model or the service that is asked for. */
+  /** The requested model or service. */
   serves: string
+  /** The share of slots that the request's class is guaranteed, between 0 and 1. */
   floor: number
+  /** The target for the time to the first token, in ms. */
   firstTokenMs: number
   maxWaitMs: number
+  /** Whether the request is refused or still served after {@link maxWaitMs}. */
   late: 'refuse' | 'serve'
-  /** Selectors that an endpoint must satisfy, as text. */
+  /** Label selectors that an endpoint must satisfy, as text. */
   selectors: readonly string[]
-  /** Endpoints that failed this request before. */
+  /** Names of endpoints that failed this request before. */
   avoid: Set<string>
 }
 
-/** The leave to run a request on an endpoint. */
+/** Permission to run a request on an endpoint. */
 export interface Grant {
   request: RoutedRequest
   endpoint: string
   sidecar: SidecarPort
-  /** The offer it takes up; none where the slot was known to be free. */
+  /** The accepted offer; undefined if the slot was known to be free. */
   offerId?: string
   queuedMs: number
+  /** In ms of the monotonic clock. */
   grantedAt: number
   why: string
 }
 
 export type RefusalReason = 'resting' | 'queue-full' | 'wait-passed' | 'wait-too-long' | 'cancelled' | 'stopping'
 
-/** A request that was certainly not run. */
+/** The result for a request that was certainly not run. */
 export interface Refusal {
   reason: RefusalReason
   why: string
   retryAfterMs: number
 }
 
-/** A linked sidecar, as the dispatcher sees it. */
+/** A sidecar that is linked to this entry. */
 export interface SidecarPort {
   readonly name: string
   readonly startId: string
@@ -50,7 +54,7 @@
   sendPreempt (endpoint: string, className: string, tier: Tier): void
 }
 
-/** An offer of a free slot. */
+/** A sidecar's offer of a free slot. */
 export interface Offer {
   offerId: string
   endpoint: string
@@ -59,15 +63,15 @@
   floor: boolean
 }
 
-/** An endpoint as this entry knows it. */
+/** The state of an endpoint as known to this entry. */
 export interface EndpointView {
   description: EndpointDescription
   sidecar: SidecarPort
   load: EndpointLoad
-  /** Until when it wants nothing, by the monotonic clock. */
+  /** The end of the backoff that the endpoint requested, in ms of the monotonic clock; 0 if it requested none. */
   restsUntil: number
-  /** Attempts of this entry in flight there. */
+  /** The number of this entry's attempts in flight at the endpoint. */
   outstanding: number
-  /** Whether a probe of this entry is in flight there. */
+  /** Whether a probe of this entry is in flight at the endpoint. */
   probing: boolean
 }
--- a/routing/dispatcher/src/wait-estimate.ts
+++ b/routing/dispatcher/src/wait-estimate.ts
@@ -1,42 +1,42 @@
 /**
- * Estimates how long a request will wait, from measured grants and arrivals of
- * the last seconds. Used to refuse early what can't be served in its wait.
+ * Estimates how long a request will wait, from the grants and arrivals of the last seconds. The dispatcher refuses a request at
+ * once if it can't be served within its maximum wait.
  */
 import { type Tier } from '@gullwall/core.types'
 
 const BUCKET_MS = 250
 const BUCKETS = 8
-/** Below so many grants in the window no estimate is given. */
+/** With fewer grants in the window there is no estimate. */
 const MIN_GRANTS = 10
 
-/** Counts by tier over a sliding window. */
-class RateWindow {
+/** Counts events by tier in a sliding window. */
+class EventWindow {
   private readonly buckets = new Map<number, Map<Tier, number>>()
   private current = 0
 
   add (tier: Tier, now: number): void {
-    const bucket = this.bucketAt(now)
+    const bucket = this.openBucket(now)
     bucket.set(tier, (bucket.get(tier) ?? 0) + 1)
   }
 
-  sum (now: number, wanted: (tier: Tier) => boolean): number {
-    this.bucketAt(now)
+  sum (now: number, includesTier: (tier: Tier) => boolean): number {
+    this.openBucket(now)
     let total = 0
     for (const bucket of this.buckets.values()) {
       for (const [tier, amount] of bucket) {
-        if (wanted(tier)) total += amount
+        if (includesTier(tier)) total += amount
       }
     }
     return total
   }
 
-  /** Gives the bucket of a time, and drops those that have left the window. */
-  private bucketAt (now: number): Map<Tier, number> {
+  /** Returns the current bucket, and drops the buckets that have left the window. */
+  private openBucket (now: number): Map<Tier, number> {
     const number = Math.floor(now / BUCKET_MS)
     if (number !== this.current) {
       this.current = number
-      for (const kept of this.buckets.keys()) {
-        if (number - kept >= BUCKETS) this.buckets.delete(kept)
+      for (const other of this.buckets.keys()) {
+        if (number - other >= BUCKETS) this.buckets.delete(other)
       }
     }
     let bucket = this.buckets.get(number)
@@ -49,8 +49,8 @@
 }
 
 export class WaitEstimate {
-  private readonly grants = new RateWindow()
-  private readonly arrivals = new RateWindow()
+  private readonly grants = new EventWindow()
+  private readonly arrivals = new EventWindow()
 
   noteArrival (tier: Tier, now: number): void {
     this.arrivals.add(tier, now)
@@ -61,15 +61,15 @@
   }
 
   /**
-   * The wait of a request behind `ahead` others of its tier or higher, in ms:
-   * higher tiers that keep arriving go first, but for the floor.
-   * @returns undefined if too little was measured
+   * Estimates the wait of a request behind `ahead` requests of the same or a higher tier, in ms. Arriving requests of higher
+   * tiers are assumed to be granted first, except for the `floor` that the request's class is guaranteed.
+   * @returns undefined if there were too few grants
    */
   estimateMs (tier: Tier, floor: number, ahead: number, now: number): number | undefined {
     const granted = this.grants.sum(now, () => true)
     if (granted < MIN_GRANTS) return undefined
     const higher = this.arrivals.sum(now, (other) => other < tier)
-    const left = Math.max(granted - higher, granted * floor, 1)
-    return (ahead + 1) / left * BUCKETS * BUCKET_MS
+    const available = Math.max(granted - higher, granted * floor, 1)
+    return (ahead + 1) / available * BUCKETS * BUCKET_MS
   }
 }
--- a/routing/dispatcher/test/dispatcher.fuzz.test.ts
+++ b/routing/dispatcher/test/dispatcher.fuzz.test.ts
@@ -16,7 +16,7 @@
 
 type Step =
   | { do: 'send', entry: number, class: number, organisation: number, runMs: number, times: number }
-  | { do: 'relink', entry: number, sidecar: number }
+  | { do: 'reconnect', entry: number, sidecar: number }
   | { do: 'advance', ms: number }
 
 const step: fc.Arbitrary<Step> = fc.oneof(
@@ -31,11 +31,11 @@
       times: fc.integer({ min: 1, max: 10 })
     })
   },
-  { weight: 1, arbitrary: fc.record({ do: fc.constant('relink' as const), entry: fc.nat(2), sidecar: fc.nat(1) }) },
+  { weight: 1, arbitrary: fc.record({ do: fc.constant('reconnect' as const), entry: fc.nat(2), sidecar: fc.nat(1) }) },
   { weight: 4, arbitrary: fc.record({ do: fc.constant('advance' as const), ms: fc.constantFrom(1, 10, 100, 700) }) }
 )
 
-/** Enough for the longest sequence on all slots; a request that still waits then is stuck. */
+/** Long enough for the longest sequence of requests on all slots; a request that is still unfinished afterwards is stuck. */
 const SETTLE_MS = 60_000
 const SETTLE_STEP_MS = 500
 const LIMIT = 2
@@ -46,7 +46,7 @@
     mutate?.()
     for (const next of steps) {
       if (next.do === 'advance') await world.advance(next.ms)
-      else if (next.do === 'relink') world.relink(next.entry, next.sidecar)
+      else if (next.do === 'reconnect') world.reconnect(next.entry, next.sidecar)
       else for (let time = 0; time < next.times; time++) world.send(next.entry, CLASSES[next.class]?.name ?? '', `o${next.organisation}`, next.runMs)
     }
     const findStuck = () => world.fates.find(({ state }) => state === 'waiting' || state === 'running')
@@ -55,7 +55,7 @@
     if (stuck !== undefined) world.violations.push(`${stuck.request.class} ${stuck.request.id} is still ${stuck.state}`)
     await world.advance(SETTLE_STEP_MS)
     for (const { name, slots } of world.sidecars) {
-      if (slots.spare !== LIMIT) world.violations.push(`${name} has ${slots.spare} free slots of ${LIMIT} with nothing to do`)
+      if (slots.spare !== LIMIT) world.violations.push(`${name} has ${slots.spare} of ${LIMIT} slots free although no request is left`)
     }
     return world.violations[0]
   } finally {
@@ -71,14 +71,14 @@
   return await fc.check(property, { numRuns: runs, seed: SEED, endOnFailure: mutate !== undefined })
 }
 
-describe('decisions of entries and sidecars together', () => {
-  it('keep tiers, limits and every request, under random work and lost links', async () => {
+describe('routing decisions of entries and sidecars', () => {
+  it('respect tiers and limits and finish every request under random load and lost links', async () => {
     console.log(`seed ${SEED}, ${RUNS} sequences`)
     const details = await fuzz(RUNS)
     expect(details.failed, `${String(details.errorInstance)}\n${fc.defaultReportMessage(details) ?? ''}`).toBe(false)
   }, 3_600_000)
 
-  it('serve every class at its floor while higher tiers never stop', async () => {
+  it('serve every class at its floor under a constant load of higher tiers', async () => {
     const world = new World({ seed: 5, entries: 2, endpoints: 1, limit: 2, maxQueued: 500, classes: CLASSES })
     try {
       for (let index = 0; index < 60; index++) world.send(index, 'batch', 'o1', 20)
@@ -95,9 +95,9 @@
     }
   })
 
-  it('serve a higher tier at one entry before a lower one that waited longer at another', async () => {
-    const withoutFloor = CLASSES.map((known) => ({ ...known, floor: 0 }))
-    const world = new World({ seed: 6, entries: 3, endpoints: 1, limit: 1, maxQueued: 500, classes: withoutFloor })
+  it('serve a higher tier at one entry before a lower tier that has waited longer at another entry', async () => {
+    const classesWithoutFloor = CLASSES.map((known) => ({ ...known, floor: 0 }))
+    const world = new World({ seed: 6, entries: 3, endpoints: 1, limit: 1, maxQueued: 500, classes: classesWithoutFloor })
     try {
       world.send(0, 'interactive', 'o1', 300)
       await world.advance(20)
@@ -112,18 +112,18 @@
   })
 })
 
-/** A private member, for a mutation to replace. */
+/** A type through which mutations replace private members. */
 type Open = Record<string, (...args: never[]) => unknown>
 
 const MUTATIONS: Record<string, () => void> = {
   'the highest tier is shed first': () => {
-    const original = FairQueue.prototype.samples
+    const originalSamples = FairQueue.prototype.samples
     vi.spyOn(FairQueue.prototype, 'victim').mockImplementation(function (this: FairQueue<never>) {
-      const item = original.call(this).sort((left: { tier: number }, right: { tier: number }) => left.tier - right.tier)[0] as never
+      const item = originalSamples.call(this).sort((left: { tier: number }, right: { tier: number }) => left.tier - right.tier)[0] as never
       return { item, isResumed: false }
     })
   },
-  'a slot that is offered may be taken by anybody': () => {
+  'a request may take a slot that is offered to another one': () => {
     vi.spyOn(EndpointSlots.prototype as unknown as Open, 'mayGoAhead').mockImplementation(function (this: EndpointSlots) {
       return this.inFlight < LIMIT
     })
@@ -136,7 +136,7 @@
       return [...(this as unknown as { running: Map<string, unknown> }).running.values()][0]
     })
   },
-  'a lost offer is never void': () => {
+  'a lost offer never expires': () => {
     vi.spyOn(EndpointSlots.prototype, 'pass').mockImplementation(() => {})
   },
   'the floor is forgotten and only the highest tier is offered': () => {
@@ -144,9 +144,9 @@
   }
 }
 
-describe('the oracle of the decisions', () => {
+describe('the checks of the simulation', () => {
   for (const [name, mutate] of Object.entries(MUTATIONS)) {
-    it(`catches that ${name}`, async () => {
+    it(`detect that ${name}`, async () => {
       expect((await fuzz(300, mutate)).failed).toBe(true)
     }, 120_000)
   }
--- a/routing/dispatcher/test/wait-estimate.test.ts
+++ b/routing/dispatcher/test/wait-estimate.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest'
 import { WaitEstimate } from '../src/wait-estimate.ts'
 
-describe('the estimate of a wait', () => {
-  it('follows measured grants, less what goes to higher tiers', () => {
+describe('the wait estimate', () => {
+  it('follows the rate of grants minus the arrivals of higher tiers', () => {
     const estimate = new WaitEstimate()
     for (let at = 0; at < 2000; at += 10) {
       estimate.noteGrant(1, at)
@@ -12,7 +12,7 @@
     expect(estimate.estimateMs(1, 0, 99, 1999)).toBeCloseTo(2000, -2)
   })
 
-  it('gives none after a pause, and works again after it', () => {
+  it('is undefined after a pause without grants, and available again after new grants', () => {
     const estimate = new WaitEstimate()
     for (let at = 0; at < 500; at += 10) estimate.noteGrant(0, at)
     expect(estimate.estimateMs(0, 0, 1, 60_000)).toBeUndefined()
--- a/routing/dispatcher/test/world.ts
+++ b/routing/dispatcher/test/world.ts
@@ -1,4 +1,4 @@
-/** Entries and sidecars in one process: the real decisions, with messages that take virtual time. */
+/** Simulates entries and sidecars in one process: with the real decision code, and messages delayed in virtual time. */
 import { vi } from 'vitest'
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
@@ -17,7 +17,7 @@
   floor: number
 }
 
-/** What became of one request. */
+/** The progress of one request. */
 export interface Fate {
   request: RoutedRequest
   state: 'waiting' | 'running' | 'done' | 'refused'
@@ -55,7 +55,7 @@
 export class World {
   readonly fates: Fate[] = []
   readonly violations: string[] = []
-  /** Grants of slots, in order. */
+  /** The requests that started on a slot, in order. */
   readonly started: Fate[] = []
   readonly sidecars: Sidecar[] = []
   private readonly entries: Entry[] = []
@@ -82,16 +82,16 @@
     await vi.advanceTimersByTimeAsync(ms)
   }
 
-  /** Sends a request to an entry; it runs for `runMs` once it has a slot. */
+  /** Submits a request to an entry. The request runs for `runMs` once it has a slot. */
   send (entryIndex: number, className: string, organisation: string, runMs: number): Fate {
     const entry = this.entries[entryIndex % this.entries.length] as Entry
-    const found = this.options.classes.find(({ name }) => name === className) as WorldClass
+    const requestClass = this.options.classes.find(({ name }) => name === className) as WorldClass
     const request: RoutedRequest = {
       id: `r${this.fates.length}`,
       group: className,
       class: className,
-      tier: found.tier,
-      floor: found.floor,
+      tier: requestClass.tier,
+      floor: requestClass.floor,
       organisation,
       weight: 1,
       arrivedAt: performance.now(),
@@ -109,8 +109,8 @@
     return fate
   }
 
-  /** Cuts an entry's link to a sidecar and opens it again. */
-  relink (entryIndex: number, sidecarIndex: number): void {
+  /** Closes an entry's link to a sidecar and opens it again. */
+  reconnect (entryIndex: number, sidecarIndex: number): void {
     const entry = this.entries[entryIndex % this.entries.length] as Entry
     const sidecar = this.sidecars[sidecarIndex % this.sidecars.length] as Sidecar
     const port = entry.ports.get(sidecar.name)
@@ -125,39 +125,39 @@
     result.caseOf({
       Left: (refusal) => {
         fate.state = 'refused'
-        if (refusal.reason === 'queue-full') this.noteShed(entry, fate)
+        if (refusal.reason === 'queue-full') this.checkShedding(entry, fate)
       },
       Right: (grant) => this.attempt(entry, fate, grant, runMs)
     })
   }
 
-  /** A request must not be given up while one of a lower tier waits at the same entry. */
-  private noteShed (entry: Entry, fate: Fate): void {
+  /** Records a violation if a request was shed while one of a lower tier waited at the same entry. */
+  private checkShedding (entry: Entry, fate: Fate): void {
     const lower = [...entry.dispatcher.queuedByClass().keys()].filter((name) => {
       return (this.options.classes.find((known) => known.name === name)?.tier ?? 0) > fate.request.tier
     })
-    if (lower.length > 0) this.violations.push(`${fate.request.class} was shed while ${lower.join()} waits`)
+    if (lower.length > 0) this.violations.push(`${fate.request.class} was shed while ${lower.join()} was waiting`)
   }
 
   private attempt (entry: Entry, fate: Fate, grant: Grant, runMs: number): void {
     const sidecar = this.sidecars.find(({ name }) => name === grant.sidecar.name) as Sidecar
     this.attempts += 1
     const attemptId = `a${this.attempts}`
-    this.later(() => {
+    this.delay(() => {
       const { tier } = fate.request
       const waiting = sidecar.book.highestTier(sidecar.name)
       const admitted = sidecar.slots.admit({ attemptId, entry: entry.name, offerId: grant.offerId, tier, preemptible: true }, () => {
         sidecar.running.get(attemptId)?.end(true)
       })
       if (!admitted) {
-        this.later(() => {
+        this.delay(() => {
           entry.dispatcher.finished(grant, true)
           entry.dispatcher.noteBusy(grant.endpoint)
           void this.serve(entry, fate, runMs, true)
         })
         return
       }
-      if (grant.offerId === undefined && waiting !== undefined && waiting <= tier) this.violations.push('a slot went past waiting work of its tier')
+      if (grant.offerId === undefined && waiting !== undefined && waiting <= tier) this.violations.push('a request took a slot ahead of a waiting request of its tier or higher')
       this.run(entry, sidecar, fate, grant, attemptId, runMs)
     })
   }
@@ -167,17 +167,17 @@
     fate.runs += 1
     fate.startedAt = performance.now()
     this.started.push(fate)
-    if (sidecar.slots.inFlight > this.options.limit) this.violations.push('more in flight than the limit')
+    if (sidecar.slots.inFlight > this.options.limit) this.violations.push('more requests were in flight than the limit allows')
     const timer = setTimeout(() => end(false), runMs)
     const end = (preempted: boolean) => {
       clearTimeout(timer)
       sidecar.running.delete(attemptId)
-      const left = runMs - (performance.now() - fate.startedAt)
+      const remainingMs = runMs - (performance.now() - fate.startedAt)
       fate.state = preempted ? 'waiting' : 'done'
       queueMicrotask(() => sidecar.slots.release(attemptId))
-      this.later(() => {
+      this.delay(() => {
         entry.dispatcher.finished(grant, true)
-        if (preempted) void this.serve(entry, fate, left, true)
+        if (preempted) void this.serve(entry, fate, remainingMs, true)
       })
     }
     sidecar.running.set(attemptId, { fate, end })
@@ -210,7 +210,7 @@
         const entry = this.entries.find((candidate) => candidate.name === entryName)
         const port = entry?.ports.get(name)
         if (entry === undefined || port === undefined) return false
-        this.later(() => entry.dispatcher.takeOffer(port, offer))
+        this.delay(() => entry.dispatcher.takeOffer(port, offer))
         return true
       }
     })
@@ -219,7 +219,7 @@
       const load = slots.load()
       for (const entry of this.entries) {
         const port = entry.ports.get(name)
-        if (port !== undefined) this.later(() => entry.dispatcher.updateLoad(port, [{ ...load }]))
+        if (port !== undefined) this.delay(() => entry.dispatcher.updateLoad(port, [{ ...load }]))
       }
     }, REPORT_MS)
     return sidecar
@@ -232,13 +232,13 @@
       startId: `start-${name}`,
       dataCentre: 'east',
       address: name,
-      sendDemand: (rows) => this.later(() => {
+      sendDemand: (rows) => this.delay(() => {
         if (entry.ports.get(name) !== port) return
         book.update(entry.name, rows)
         slots.offerFree()
       }),
-      sendPass: (offerId) => this.later(() => slots.pass(offerId)),
-      sendPreempt: (_endpoint, className, tier) => this.later(() => this.preempt(sidecar, entry.name, className, tier))
+      sendPass: (offerId) => this.delay(() => slots.pass(offerId)),
+      sendPreempt: (_endpoint, className, tier) => this.delay(() => this.preempt(sidecar, entry.name, className, tier))
     }
     entry.ports.set(name, port)
     entry.dispatcher.setEndpoints(port, [{ name, kind: 'engine', serves: MODEL, labels: {} }], false)
@@ -255,8 +255,8 @@
     }
   }
 
-  /** Messages on one link keep their order in the system; here each takes its own time, which is harder. */
-  private later (action: () => void): void {
+  /** Delays a message by a random time. Messages may overtake each other here, which real links do not allow. */
+  private delay (action: () => void): void {
     setTimeout(action, 1 + Math.floor(this.random() * MAX_DELAY_MS))
   }
 }
--- a/routing/quarantine/src/blame.ts
+++ b/routing/quarantine/src/blame.ts
@@ -6,7 +6,7 @@
 
 /** The score from which a request is quarantined. Retried requests may be present at two crashes by chance. */
 export const CRASHES_NEEDED = 3
-/** The score from which a request is quarantined even if another request was present at the same crashes as often. */
+/** Where another request was in as many of the same crashes neither is held yet, but with so many both are. */
 const CONCLUSIVE_CRASHES = 5
 /** The weight in the score of a crash that another request explains; other crashes count 1. */
 const EXPLAINED_WEIGHT = 0.5
--- a/routing/quarantine/test/blame.test.ts
+++ b/routing/quarantine/test/blame.test.ts
@@ -24,7 +24,7 @@
     expect(findCauses(crashesOf('Pa', 'Pa', 'Pa', 'P'))).toEqual(['P'])
   })
 
-  it('a request is quarantined after five crashes although another was present at all of them', () => {
+  it('both of two that were together in five crashes are held', () => {
     expect(findCauses(crashesOf('PQ', 'PQ', 'PQ', 'PQ', 'PQ'))).toContain('P')
   })
 
