--- a/routing/decision-log/src/index.ts
+++ b/routing/decision-log/src/index.ts
@@ -1,13 +1,13 @@
-/** The log of routing decisions, and the newest of them by request to explain what happened. */
+/** Logs routing decisions, and keeps the decisions of recent requests so that they can be explained. */
 import { type Logger, type RoutingRecord } from '@gullwall/core.logger'
 
 export interface DecisionLogOptions {
   logger: Logger
-  /** Of how many requests the decisions are kept. */
+  /** The number of requests whose decisions are kept. */
   maxRequests?: number
 }
 
-/** A decision with the time it took place, as `explain` shows it. */
+/** A decision with its time in ISO 8601. */
 export type ExplainedDecision = RoutingRecord & { time: string }
 
 const DEFAULT_MAX_REQUESTS = 5000
@@ -20,6 +20,7 @@
     this.maxRequests = options.maxRequests ?? DEFAULT_MAX_REQUESTS
   }
 
+  /** Logs and keeps a decision. Log lines of refusals are sampled. */
   record (decision: Omit<RoutingRecord, 'channel'>): void {
     const record: RoutingRecord = { channel: 'routing', ...decision }
     this.keep(record)
@@ -27,6 +28,7 @@
     else this.options.logger.info(record)
   }
 
+  /** Returns the decisions on a request, oldest first; empty if they are no longer kept. */
   explain (requestId: string): readonly ExplainedDecision[] {
     return this.byRequest.get(requestId) ?? []
   }
--- a/routing/fair-queue/src/index.ts
+++ b/routing/fair-queue/src/index.ts
@@ -1,39 +1,39 @@
 /**
- * The queue of an entry: by tier, then fair share among organisations, then
- * arrival. Requests of one class and model with the same reach form a group,
- * since an endpoint's offer fits either all of a group or none.
+ * The queue of an entry, ordered by tier, then by fair share among organisations, then by arrival. Requests of one class and
+ * model that may use the same endpoints form a group, since an offered slot suits either all requests of a group or none.
  */
 import { type Tier } from '@gullwall/core.types'
 
-/** What the queue must know of a request. */
+/** The properties of a request that the queue uses. */
 export interface QueueItem {
   id: string
-  /** Requests of one group may use the same endpoints and share class and tier. */
+  /** Requests of one group have the same class and tier and may use the same endpoints. */
   group: string
   class: string
   tier: Tier
   organisation: string
-  /** The organisation's share within the tier. */
+  /** The weight of the organisation's share within the tier. */
   weight: number
-  /** Monotonic time of arrival, in ms. */
+  /** The time of arrival, in ms of the monotonic clock. */
   arrivedAt: number
 }
 
-/** A request to give up when the queue is full. */
+/** A request to shed when the queue is full. */
 export interface Victim<Item> {
   item: Item
-  /** It ran in part, so giving it up breaks off an answer. */
+  /** Whether the request ran in part, so that shedding it cuts off its response. */
   isResumed: boolean
 }
 
-/** A summary of one group's waiting work. */
+/** A summary of the waiting requests of one group. */
 export interface GroupSummary<Item extends QueueItem = QueueItem> {
   group: string
-  /** One of the group's requests; all have class, tier and reach in common. */
+  /** One of the group's requests, which stands for all of them. */
   sample: Item
   class: string
   tier: Tier
   count: number
+  /** The number of organisations with waiting requests. */
   organisations: number
   oldestArrivedAt: number
 }
@@ -48,30 +48,33 @@
     return this.total
   }
 
-  /** How many requests wait that never ran. */
+  /** The number of waiting requests that have not run before. */
   get freshSize (): number {
     return this.total - this.resumedTotal
   }
 
-  /** Adds a request; one that ran in part before goes ahead of its organisation's others. */
+  /** Adds a request. With `front` it ran in part and is queued ahead of its organisation's other requests. */
   push (item: Item, options: { front?: boolean } = {}): void {
-    const group = this.groupOf(item)
-    const lane = group.lane(item.organisation)
-    const target = options.front === true ? lane.resumed : lane.waiting
+    const group = this.getOrCreateGroup(item)
+    const lane = group.getOrCreateLane(item.organisation)
+    const target = options.front === true ? lane.resumed : lane.unstarted
     target.add(item)
     if (options.front === true) this.resumedTotal += 1
     group.size += 1
     this.total += 1
-    this.sharesOf(item.tier).join(item.organisation)
+    this.getOrCreateShares(item.tier).join(item.organisation)
   }
 
-  /** Takes a request out; false if it is not queued. */
+  /**
+   * Removes a request.
+   * @returns false if the request is not queued
+   */
   remove (item: Item): boolean {
     const group = this.groups.get(item.group)
     const lane = group?.lanes.get(item.organisation)
     if (group === undefined || lane === undefined) return false
     if (lane.resumed.delete(item)) this.resumedTotal -= 1
-    else if (!lane.waiting.delete(item)) return false
+    else if (!lane.unstarted.delete(item)) return false
     group.size -= 1
     this.total -= 1
     if (lane.size === 0) group.lanes.delete(item.organisation)
@@ -79,10 +82,7 @@
     return true
   }
 
-  /**
-   * Takes the best request among some groups: highest tier, then the
-   * organisation furthest below its share, then the oldest.
-   */
+  /** Removes and returns the first request of some groups, by highest tier, then by lowest usage of the organisation, then by age. */
   take (groups: Iterable<string>): Item | undefined {
     const best = this.peek(groups)
     if (best === undefined) return undefined
@@ -90,24 +90,24 @@
     return best
   }
 
-  /** Gives what {@link take} would take. */
+  /** Returns the request that {@link take} would remove. */
   peek (groups: Iterable<string>): Item | undefined {
     let best: Item | undefined
     for (const name of groups) {
       const group = this.groups.get(name)
       if (group === undefined || (best !== undefined && group.tier > best.tier)) continue
-      const candidate = this.firstOf(group)
+      const candidate = this.findFirst(group)
       if (candidate !== undefined && (best === undefined || this.isBefore(candidate, best))) best = candidate
     }
     return best
   }
 
-  /** Adds the cost of a request to its organisation's account; see {@link TierShares}. */
+  /** Adds the cost of a request to its organisation's usage; see {@link TierShares}. A negative cost corrects an earlier one. */
   charge (tier: Tier, organisation: string, weight: number, cost: number): void {
-    this.sharesOf(tier).charge(organisation, cost / weight)
+    this.getOrCreateShares(tier).charge(organisation, cost / weight)
   }
 
-  /** One waiting request of each group. */
+  /** Returns one waiting request of each group. */
   samples (): Item[] {
     return [...this.groups.values()].map((group) => group.sample)
   }
@@ -120,11 +120,11 @@
       tier: group.tier,
       count: group.size,
       organisations: group.lanes.size,
-      oldestArrivedAt: group.oldest()
+      oldestArrivedAt: group.findOldestArrival()
     }))
   }
 
-  /** How many requests of a tier or a higher one wait in some groups. */
+  /** Counts the waiting requests of a tier or a higher one in some groups. */
   countAhead (tier: Tier, groups: ReadonlySet<string>): number {
     let count = 0
     for (const [name, group] of this.groups) {
@@ -133,7 +133,7 @@
     return count
   }
 
-  /** Tells whether a request of a tier or a higher one waits in some groups. */
+  /** Whether a request of a tier or a higher one waits in some groups. */
   hasWaiting (tier: Tier, groups: ReadonlySet<string>): boolean {
     for (const [name, group] of this.groups) {
       if (group.tier <= tier && groups.has(name)) return true
@@ -142,21 +142,20 @@
   }
 
   /**
-   * The request to give up when the queue is full: of the lowest tier present,
-   * the newest of the organisation with the most waiting there; one that ran in
-   * part only if the tier has no other.
+   * Selects the request to shed when the queue is full: the newest request in the largest group of the lowest tier, from the
+   * organisation with the most requests there. A request that ran in part is selected only if all requests of that tier did.
    */
   victim (): Victim<Item> | undefined {
     let lowest: Group<Item> | undefined
     for (const group of this.groups.values()) {
       const isLower = lowest === undefined || group.tier > lowest.tier
-      const isLonger = group.tier === lowest?.tier && group.freshSize > lowest.freshSize
-      if (isLower || isLonger) lowest = group
+      const isLarger = group.tier === lowest?.tier && group.freshSize > lowest.freshSize
+      if (isLower || isLarger) lowest = group
     }
     return lowest?.victim()
   }
 
-  private groupOf (item: Item): Group<Item> {
+  private getOrCreateGroup (item: Item): Group<Item> {
     let group = this.groups.get(item.group)
     if (group === undefined) {
       group = new Group<Item>(item)
@@ -165,7 +164,7 @@
     return group
   }
 
-  private sharesOf (tier: Tier): TierShares {
+  private getOrCreateShares (tier: Tier): TierShares {
     let shares = this.shares.get(tier)
     if (shares === undefined) {
       shares = new TierShares()
@@ -174,15 +173,15 @@
     return shares
   }
 
-  private firstOf (group: Group<Item>): Item | undefined {
-    const shares = this.sharesOf(group.tier)
+  private findFirst (group: Group<Item>): Item | undefined {
+    const shares = this.getOrCreateShares(group.tier)
     let best: Lane<Item> | undefined
-    let bestUsed = Infinity
+    let bestUsage = Infinity
     for (const [organisation, lane] of group.lanes) {
-      const used = shares.used(organisation)
-      if (used < bestUsed) {
+      const usage = shares.getUsage(organisation)
+      if (usage < bestUsage) {
         best = lane
-        bestUsed = used
+        bestUsage = usage
       }
     }
     return best?.first()
@@ -190,30 +189,32 @@
 
   private isBefore (left: Item, right: Item): boolean {
     if (left.tier !== right.tier) return left.tier < right.tier
-    const shares = this.sharesOf(left.tier)
-    const leftUsed = shares.used(left.organisation)
-    const rightUsed = shares.used(right.organisation)
-    if (leftUsed !== rightUsed) return leftUsed < rightUsed
+    const shares = this.getOrCreateShares(left.tier)
+    const leftUsage = shares.getUsage(left.organisation)
+    const rightUsage = shares.getUsage(right.organisation)
+    if (leftUsage !== rightUsage) return leftUsage < rightUsage
     return left.arrivedAt < right.arrivedAt
   }
 }
 
-/** One organisation's requests in a group, in order of arrival. */
+/** The waiting requests of one organisation in a group, in order of arrival. */
 class Lane<Item> {
+  /** Requests that ran in part. */
   readonly resumed = new Set<Item>()
-  readonly waiting = new Set<Item>()
+  /** Requests that have not run before. */
+  readonly unstarted = new Set<Item>()
 
   get size (): number {
-    return this.resumed.size + this.waiting.size
+    return this.resumed.size + this.unstarted.size
   }
 
   first (): Item | undefined {
-    const lane = this.resumed.size > 0 ? this.resumed : this.waiting
-    return lane.values().next().value
+    const requests = this.resumed.size > 0 ? this.resumed : this.unstarted
+    return requests.values().next().value
   }
 
-  newestFresh (): Item | undefined {
-    return [...this.waiting].at(-1)
+  newestUnstarted (): Item | undefined {
+    return [...this.unstarted].at(-1)
   }
 }
 
@@ -227,7 +228,7 @@
     return this.sample.tier
   }
 
-  lane (organisation: string): Lane<Item> {
+  getOrCreateLane (organisation: string): Lane<Item> {
     let lane = this.lanes.get(organisation)
     if (lane === undefined) {
       lane = new Lane<Item>()
@@ -236,7 +237,7 @@
     return lane
   }
 
-  oldest (): number {
+  findOldestArrival (): number {
     let oldest = Infinity
     for (const lane of this.lanes.values()) oldest = Math.min(oldest, lane.first()?.arrivedAt ?? Infinity)
     return oldest
@@ -244,53 +245,54 @@
 
   get freshSize (): number {
     let size = 0
-    for (const lane of this.lanes.values()) size += lane.waiting.size
+    for (const lane of this.lanes.values()) size += lane.unstarted.size
     return size
   }
 
   victim (): Victim<Item> | undefined {
     let longest: Lane<Item> | undefined
     for (const lane of this.lanes.values()) {
-      if (longest === undefined || lane.waiting.size > longest.waiting.size) longest = lane
+      if (longest === undefined || lane.unstarted.size > longest.unstarted.size) longest = lane
     }
-    const fresh = longest?.newestFresh()
-    if (fresh !== undefined) return { item: fresh, isResumed: false }
+    const newest = longest?.newestUnstarted()
+    if (newest !== undefined) return { item: newest, isResumed: false }
     const item = longest?.first()
     return item === undefined ? undefined : { item, isResumed: true }
   }
 }
 
-/** At this many organisations the accounts of those at the tier's clock are dropped. */
-const MAX_ACCOUNTS = 10_000
+/** Above this number of organisations, those whose usage is not above the virtual time are dropped. */
+const MAX_ORGANISATIONS = 10_000
 
 /**
- * What each organisation of a tier has used, over its weight. An organisation
- * that was away starts at the tier's clock, so idle time earns no credit.
+ * The usage of each organisation in a tier, divided by its weight (weighted fair queueing). An organisation that was idle starts
+ * at the tier's virtual time, so that idle time earns no credit.
  */
 class TierShares {
-  private readonly accounts = new Map<string, number>()
-  private clock = 0
+  private readonly usage = new Map<string, number>()
+  private virtualTime = 0
 
+  /** Raises the usage of an organisation that was idle to the virtual time. */
   join (organisation: string): void {
-    const used = this.accounts.get(organisation) ?? 0
-    if (used < this.clock) this.accounts.set(organisation, this.clock)
+    const used = this.usage.get(organisation) ?? 0
+    if (used < this.virtualTime) this.usage.set(organisation, this.virtualTime)
   }
 
-  used (organisation: string): number {
-    return this.accounts.get(organisation) ?? this.clock
+  getUsage (organisation: string): number {
+    return this.usage.get(organisation) ?? this.virtualTime
   }
 
-  /** A charge below zero corrects an estimate that was too high. */
+  /** Adds a cost to the usage of an organisation. A negative cost corrects an estimate that was too high. */
   charge (organisation: string, cost: number): void {
-    const before = this.used(organisation)
-    this.accounts.set(organisation, before + cost)
-    if (cost > 0) this.clock = Math.max(this.clock, before)
-    if (this.accounts.size > MAX_ACCOUNTS) this.dropIdle()
+    const before = this.getUsage(organisation)
+    this.usage.set(organisation, before + cost)
+    if (cost > 0) this.virtualTime = Math.max(this.virtualTime, before)
+    if (this.usage.size > MAX_ORGANISATIONS) this.dropIdle()
   }
 
   private dropIdle (): void {
-    for (const [organisation, used] of this.accounts) {
-      if (used <= this.clock) this.accounts.delete(organisation)
+    for (const [organisation, used] of this.usage) {
+      if (used <= this.virtualTime) this.usage.delete(organisation)
     }
   }
 }
--- a/routing/fair-queue/test/fair-queue.test.ts
+++ b/routing/fair-queue/test/fair-queue.test.ts
@@ -17,14 +17,14 @@
 }
 
 describe('the fair queue', () => {
-  it('gives the highest tier first, then organisations in turn, then arrival', () => {
+  it('takes the highest tier first, then organisations in turn, then the oldest request', () => {
     const queue = new FairQueue<QueueItem>()
     const items = [item(1, 'a'), item(1, 'a'), item(1, 'a'), item(1, 'b'), item(0, 'a')]
     items.forEach((next) => queue.push(next))
     expect(drain(queue)).toEqual([items[4], items[0], items[3], items[1], items[2]])
   })
 
-  it('shares by weight', () => {
+  it('shares a tier among organisations by weight', () => {
     const queue = new FairQueue<QueueItem>()
     for (let index = 0; index < 30; index++) {
       queue.push(item(1, 'small'))
@@ -44,16 +44,16 @@
     expect(drain(queue).slice(0, 10).filter(({ organisation }) => organisation === 'late').length).toBeLessThanOrEqual(6)
   })
 
-  it('gives up the lowest tier, and what ran in part last', () => {
+  it('sheds the lowest tier first, and requests that ran in part last', () => {
     const queue = new FairQueue<QueueItem>()
     const resumed = item(2, 'a')
-    const fresh = item(2, 'a')
+    const unstarted = item(2, 'a')
     queue.push(item(1, 'a'))
-    queue.push(fresh)
+    queue.push(unstarted)
     queue.push(resumed, { front: true })
     expect(queue.freshSize).toBe(2)
-    expect(queue.victim()).toEqual({ item: fresh, isResumed: false })
-    queue.remove(fresh)
+    expect(queue.victim()).toEqual({ item: unstarted, isResumed: false })
+    queue.remove(unstarted)
     expect(queue.victim()).toEqual({ item: resumed, isResumed: true })
     queue.remove(resumed)
     expect(queue.freshSize).toBe(1)
--- a/routing/health/test/health.test.ts
+++ b/routing/health/test/health.test.ts
@@ -5,20 +5,20 @@
   return gaps.map((tokenGapMs, index) => ({ name: `${peerGroup}/${index}`, peerGroup, tokenGapMs, firstTokenMs: 0, failuresInRow: 0 }))
 }
 
-describe('the health of endpoints', () => {
-  it('puts a slow one aside, probes it and brings it back', () => {
+describe('the health monitor', () => {
+  it('ejects a slow endpoint, probes it and readmits it', () => {
     const health = new HealthMonitor()
-    const seen = samples([50, 55, 60, 300])
+    const withSlowPeer = samples([50, 55, 60, 300])
     const slow = 'parts/east/3'
-    expect(health.evaluate(seen, 0)).toMatchObject([{ endpoint: slow, state: 'ejected' }])
-    expect(health.evaluate(seen, 1000)).toEqual([])
-    expect(health.evaluate(seen, 2500)).toMatchObject([{ endpoint: slow, state: 'probing' }])
+    expect(health.evaluate(withSlowPeer, 0)).toMatchObject([{ endpoint: slow, state: 'ejected' }])
+    expect(health.evaluate(withSlowPeer, 1000)).toEqual([])
+    expect(health.evaluate(withSlowPeer, 2500)).toMatchObject([{ endpoint: slow, state: 'probing' }])
     health.noteSuccess(slow)
     health.noteSuccess(slow)
     expect(health.evaluate(samples([50, 55, 60, 58]), 3600)).toMatchObject([{ endpoint: slow, state: 'healthy' }])
   })
 
-  it('keeps one aside whose probes end well but slowly', () => {
+  it('ejects an endpoint again whose probes succeed but are slow', () => {
     const health = new HealthMonitor()
     const slow = 'parts/east/3'
     health.evaluate(samples([50, 55, 60, 300]), 0)
@@ -28,7 +28,7 @@
     expect(health.evaluate(samples([50, 55, 60, 300]), 3600)).toMatchObject([{ endpoint: slow, state: 'ejected' }])
   })
 
-  it('puts it aside for longer each time', () => {
+  it('lengthens each further ejection of an endpoint', () => {
     const health = new HealthMonitor()
     const slow = 'parts/east/3'
     health.evaluate(samples([50, 55, 60, 300]), 0)
@@ -38,7 +38,7 @@
     expect(health.evaluate(samples([50, 55, 60, 300]), 6700)).toMatchObject([{ state: 'probing' }])
   })
 
-  it('never puts aside more than a third', () => {
+  it('never ejects more than a third of the peers', () => {
     const health = new HealthMonitor()
     health.evaluate(samples([50, 50, 50, 50, 300, 300, 300, 300, 300].map((gap) => gap)), 0)
     const failing = samples(Array.from({ length: 9 }, () => 50)).map((sample) => ({ ...sample, failuresInRow: 9 }))
@@ -46,12 +46,12 @@
     expect(failing.filter((sample) => health.state(sample.name) !== 'healthy').length).toBeLessThanOrEqual(3)
   })
 
-  it('does not take a slow data centre for sick endpoints', () => {
+  it('does not eject endpoints because their whole data centre is slow', () => {
     const health = new HealthMonitor()
     expect(health.evaluate([...samples([50, 52, 54, 51]), ...samples([300, 310, 320, 305], 'parts/west')], 0)).toEqual([])
   })
 
-  it('puts one aside whose stream stood still, although its reports are fine', () => {
+  it('ejects an endpoint after a stalled stream although its load reports are normal', () => {
     const health = new HealthMonitor()
     health.noteStall('parts/east/1')
     expect(health.evaluate(samples([50, 50]), 0)).toMatchObject([{ endpoint: 'parts/east/1', state: 'ejected' }])
--- a/routing/limits/src/adaptive-limit.ts
+++ b/routing/limits/src/adaptive-limit.ts
@@ -1,31 +1,32 @@
 /**
- * The in-flight limit of one endpoint. It adapts to the measured time between
- * tokens: while that is within the target and slots are short, one more is
- * allowed; when it is over, the limit falls by a factor.
+ * The in-flight limit of one endpoint, which adapts to the measured time between tokens (additive increase, multiplicative
+ * decrease). It rises by one while this time is well below its target and all slots are taken, and falls by a factor when the
+ * time is close to or above the target.
  */
 import { SampleWindow } from './window.ts'
 
 export interface AdaptiveLimitOptions {
   start: number
   max: number
-  /** Evaluate after so many samples. */
+  /** The number of samples after which the limit is adapted. */
   samplesPerStep?: number
 }
 
 const DEFAULT_SAMPLES_PER_STEP = 40
 const DECREASE_FACTOR = 0.9
-/** Above this share of the target the limit falls; a request must keep it in 95 of its own 100 gaps, not on average. */
-const CEILING = 0.85
-/** Below this share it may rise. */
-const HEADROOM = 0.72
-/** The quantile held against the target: targets are for 95 in 100 tokens. */
+/** Above this fraction of the target the limit falls: below 1, since each request must meet its target, and not only the average. */
+const DECREASE_THRESHOLD = 0.85
+/** Below this fraction of the target the limit may rise. */
+const INCREASE_THRESHOLD = 0.72
+/** The quantile that is compared with the target, since targets apply to 95% of the tokens of a request. */
 const TARGET_QUANTILE = 0.95
 
 export class AdaptiveLimit {
+  /** Times between tokens, as fractions of their targets. */
   private readonly gaps: SampleWindow
   private readonly samplesPerStep: number
   private value: number
-  private sinceStep = 0
+  private samplesSinceStep = 0
   private wasFull = false
 
   constructor (private readonly options: AdaptiveLimitOptions) {
@@ -34,33 +35,33 @@
     this.gaps = new SampleWindow(this.samplesPerStep)
   }
 
-  /** How many attempts may run at once. */
+  /** The maximum number of concurrent attempts. */
   get limit (): number {
     return Math.max(1, Math.floor(this.value))
   }
 
-  /** Notes that all slots are taken; only a full endpoint earns a higher limit. */
+  /** Records that all slots are taken. The limit rises only if this happened since the last step. */
   noteFull (): void {
     this.wasFull = true
   }
 
   /**
-   * Adds one time between tokens, against the target of the stream it belongs to.
+   * Adds one measured time between tokens and the target of its stream.
    * @returns true if the limit changed
    */
   addGap (gapMs: number, targetMs: number): boolean {
     this.gaps.add(gapMs / targetMs)
-    this.sinceStep += 1
-    if (this.sinceStep < this.samplesPerStep) return false
+    this.samplesSinceStep += 1
+    if (this.samplesSinceStep < this.samplesPerStep) return false
     return this.step()
   }
 
   private step (): boolean {
     const before = this.limit
-    const load = this.gaps.quantile(TARGET_QUANTILE)
-    if (load > CEILING) this.value = Math.max(1, this.value * DECREASE_FACTOR)
-    else if (load < HEADROOM && this.wasFull) this.value = Math.min(this.options.max, this.value + 1)
-    this.sinceStep = 0
+    const gapToTarget = this.gaps.quantile(TARGET_QUANTILE)
+    if (gapToTarget > DECREASE_THRESHOLD) this.value = Math.max(1, this.value * DECREASE_FACTOR)
+    else if (gapToTarget < INCREASE_THRESHOLD && this.wasFull) this.value = Math.min(this.options.max, this.value + 1)
+    this.samplesSinceStep = 0
     this.wasFull = false
     return this.limit !== before
   }
--- a/routing/limits/src/index.ts
+++ b/routing/limits/src/index.ts
@@ -1,4 +1,4 @@
-/** Limits: in-flight work of an endpoint, rate and in-flight work of an organisation, and the budget for retries. */
+/** Limits on the in-flight requests of an endpoint, on the rate and in-flight requests of an organisation, and on retries. */
 export * from './adaptive-limit.ts'
 export * from './organisation-limits.ts'
 export * from './retry-budget.ts'
--- a/routing/limits/src/organisation-limits.ts
+++ b/routing/limits/src/organisation-limits.ts
@@ -1,13 +1,14 @@
-/** Rate and in-flight limits of organisations, as one entry sees them. */
+/** Rate and in-flight limits of organisations for the requests of one entry. */
 import { type OrganisationRecord } from '@gullwall/config.records'
 
-/** Why a request is over its organisation's limit, and when to come back. */
+/** The limit that a request exceeds, and the time after which it may be retried. */
 export interface LimitExceeded {
   limit: 'rate' | 'in-flight'
   retryAfterMs: number
 }
 
-interface Account {
+/** A token bucket and the requests in flight. */
+interface Usage {
   tokens: number
   refilledAt: number
   inFlight: number
@@ -17,53 +18,54 @@
 const IN_FLIGHT_RETRY_MS = 1000
 
 export class OrganisationLimits {
-  private readonly accounts = new Map<string, Account>()
+  private readonly usage = new Map<string, Usage>()
 
-  /** Takes one request into account, or tells which limit it exceeds. Pair with {@link release}. */
+  /** Admits a request, or returns the limit it exceeds. Each admitted request must be followed by a call of {@link release}. */
   admit (name: string, organisation: OrganisationRecord, now = performance.now()): LimitExceeded | undefined {
-    const account = this.accountOf(name, organisation, now)
-    if (organisation.maxInFlight > 0 && account.inFlight >= organisation.maxInFlight) {
+    const usage = this.getOrCreate(name, organisation, now)
+    if (organisation.maxInFlight > 0 && usage.inFlight >= organisation.maxInFlight) {
       return { limit: 'in-flight', retryAfterMs: IN_FLIGHT_RETRY_MS }
     }
     if (organisation.ratePerSecond > 0) {
-      refill(account, organisation, now)
-      if (account.tokens < 1) {
-        return { limit: 'rate', retryAfterMs: (1 - account.tokens) / organisation.ratePerSecond * MS_PER_SECOND }
+      refill(usage, organisation, now)
+      if (usage.tokens < 1) {
+        return { limit: 'rate', retryAfterMs: (1 - usage.tokens) / organisation.ratePerSecond * MS_PER_SECOND }
       }
-      account.tokens -= 1
+      usage.tokens -= 1
     }
-    account.inFlight += 1
+    usage.inFlight += 1
     return undefined
   }
 
+  /** Ends a request that was admitted. */
   release (name: string): void {
-    const account = this.accounts.get(name)
-    if (account === undefined) return
-    account.inFlight -= 1
+    const usage = this.usage.get(name)
+    if (usage === undefined) return
+    usage.inFlight -= 1
   }
 
-  /** Forgets accounts that are idle and full again, so that memory follows the active organisations. */
-  sweep (records: (name: string) => OrganisationRecord | undefined, now = performance.now()): void {
-    for (const [name, account] of this.accounts) {
-      const organisation = records(name)
-      if (organisation !== undefined) refill(account, organisation, now)
-      const isFull = organisation === undefined || account.tokens >= organisation.burst
-      if (account.inFlight === 0 && isFull) this.accounts.delete(name)
+  /** Drops the state of idle organisations whose token bucket is full, so that only active organisations take memory. */
+  sweep (findRecord: (name: string) => OrganisationRecord | undefined, now = performance.now()): void {
+    for (const [name, usage] of this.usage) {
+      const organisation = findRecord(name)
+      if (organisation !== undefined) refill(usage, organisation, now)
+      const isFull = organisation === undefined || usage.tokens >= organisation.burst
+      if (usage.inFlight === 0 && isFull) this.usage.delete(name)
     }
   }
 
-  private accountOf (name: string, organisation: OrganisationRecord, now: number): Account {
-    let account = this.accounts.get(name)
-    if (account === undefined) {
-      account = { tokens: organisation.burst, refilledAt: now, inFlight: 0 }
-      this.accounts.set(name, account)
+  private getOrCreate (name: string, organisation: OrganisationRecord, now: number): Usage {
+    let usage = this.usage.get(name)
+    if (usage === undefined) {
+      usage = { tokens: organisation.burst, refilledAt: now, inFlight: 0 }
+      this.usage.set(name, usage)
     }
-    return account
+    return usage
   }
 }
 
-function refill (account: Account, organisation: OrganisationRecord, now: number): void {
-  const earned = (now - account.refilledAt) / MS_PER_SECOND * organisation.ratePerSecond
-  account.tokens = Math.min(organisation.burst, account.tokens + earned)
-  account.refilledAt = now
+function refill (usage: Usage, organisation: OrganisationRecord, now: number): void {
+  const added = (now - usage.refilledAt) / MS_PER_SECOND * organisation.ratePerSecond
+  usage.tokens = Math.min(organisation.burst, usage.tokens + added)
+  usage.refilledAt = now
 }
--- a/routing/limits/src/retry-budget.ts
+++ b/routing/limits/src/retry-budget.ts
@@ -1,18 +1,21 @@
-/** The budget for retries: a share of recent successes, so that a fault does not multiply load. */
+/** Limits retries to a fraction of recent successes, so that retries do not multiply the load during a fault. */
 
 const RETRIES_PER_SUCCESS = 0.1
 const MAX_BUDGET = 50
-/** What a process starts with, so that a quiet system may retry at all. */
-const START_BUDGET = 10
+/** The initial budget, which permits retries before there are enough successes. */
+const INITIAL_BUDGET = 10
 
 export class RetryBudget {
-  private balance = START_BUDGET
+  private balance = INITIAL_BUDGET
 
   noteSuccess (): void {
     this.balance = Math.min(MAX_BUDGET, this.balance + RETRIES_PER_SUCCESS)
   }
 
-  /** Takes one retry out of the budget; false if it is spent. */
+  /**
+   * Takes one retry from the budget.
+   * @returns false if the budget is spent
+   */
   take (): boolean {
     if (this.balance < 1) return false
     this.balance -= 1
--- a/routing/limits/src/window.ts
+++ b/routing/limits/src/window.ts
@@ -1,8 +1,8 @@
-/** Recent samples of a duration, and their quantiles. */
+/** Quantiles of recent samples. */
 
 const DEFAULT_CAPACITY = 64
 
-/** A ring of the newest samples. */
+/** A ring buffer of the newest samples. */
 export class SampleWindow {
   private readonly samples: number[] = []
   private next = 0
@@ -23,7 +23,7 @@
     this.next = 0
   }
 
-  /** The given quantile, between 0 and 1; 0 if there is no sample. */
+  /** Computes the quantile for a fraction between 0 and 1; 0 if there are no samples. */
   quantile (fraction: number): number {
     if (this.samples.length === 0) return 0
     const sorted = [...this.samples].sort((left, right) => left - right)
--- a/routing/limits/test/limits.test.ts
+++ b/routing/limits/test/limits.test.ts
@@ -5,7 +5,7 @@
 const hash = `sha256:${'0'.repeat(24)}:${'0'.repeat(64)}`
 
 describe('the adaptive limit', () => {
-  it('falls while gaps are over the target and rises while slots are short', () => {
+  it('falls while the time between tokens exceeds its target, and rises while all slots are taken', () => {
     const limit = new AdaptiveLimit({ start: 10, max: 12, samplesPerStep: 10 })
     for (let sample = 0; sample < 10; sample++) limit.addGap(100, 72)
     expect(limit.limit).toBe(9)
@@ -16,7 +16,7 @@
     expect(limit.limit).toBe(12)
   })
 
-  it('does not rise while there is room, and never falls below one', () => {
+  it('does not rise while slots are free, and never falls below one', () => {
     const limit = new AdaptiveLimit({ start: 2, max: 12, samplesPerStep: 1 })
     limit.addGap(1, 72)
     expect(limit.limit).toBe(2)
@@ -25,10 +25,10 @@
   })
 })
 
-describe('limits of an organisation', () => {
+describe('the limits of an organisation', () => {
   const organisation = organisationSchema.parse({ keys: [hash], classes: ['c'], ratePerSecond: 10, burst: 2, maxInFlight: 3 })
 
-  it('let a burst through, then the rate, and say when to come back', () => {
+  it('admit a burst and then the rate, limit the requests in flight, and state when to retry', () => {
     const limits = new OrganisationLimits()
     expect([limits.admit('o', organisation, 0), limits.admit('o', organisation, 0)]).toEqual([undefined, undefined])
     expect(limits.admit('o', organisation, 0)).toEqual({ limit: 'rate', retryAfterMs: 100 })
@@ -40,7 +40,7 @@
 })
 
 describe('the retry budget', () => {
-  it('is a share of successes', () => {
+  it('permits ten initial retries, and then one retry for ten successes', () => {
     const budget = new RetryBudget()
     let taken = 0
     while (budget.take()) taken += 1
--- a/routing/policies/src/index.ts
+++ b/routing/policies/src/index.ts
@@ -1,39 +1,37 @@
-/**
- * Baselines that bind a request to an endpoint when it arrives. They are kept
- * to measure late binding against; see docs/decisions.
- */
+/** Baseline policies that bind a request to an endpoint when it arrives, for comparison with late binding; see docs/decisions. */
 import { pickOne, type EndpointView } from '@gullwall/routing.dispatcher'
 
 export type BaselineName = 'round-robin' | 'least-reported-load' | 'power-of-two'
 
-/** Chooses an endpoint among those a request may use. */
+/** Chooses one of the endpoints that a request may use. */
 export type BaselinePolicy = (candidates: readonly EndpointView[]) => EndpointView | undefined
 
 export function createBaseline (name: BaselineName): BaselinePolicy {
   switch (name) {
-    case 'round-robin': return roundRobin()
-    case 'least-reported-load': return leastReportedLoad
-    case 'power-of-two': return powerOfTwo
+    case 'round-robin': return createRoundRobin()
+    case 'least-reported-load': return chooseLeastReportedLoad
+    case 'power-of-two': return choosePowerOfTwo
   }
 }
 
-function roundRobin (): BaselinePolicy {
+function createRoundRobin (): BaselinePolicy {
   let next = 0
   return (candidates) => candidates[next++ % candidates.length]
 }
 
-function leastReportedLoad (candidates: readonly EndpointView[]): EndpointView | undefined {
+function chooseLeastReportedLoad (candidates: readonly EndpointView[]): EndpointView | undefined {
   const least = Math.min(...candidates.map((candidate) => candidate.load.reportedInFlight))
   return pickOne(candidates.filter((candidate) => candidate.load.reportedInFlight === least))
 }
 
-function powerOfTwo (candidates: readonly EndpointView[]): EndpointView | undefined {
+/** Chooses the less loaded of two random endpoints. */
+function choosePowerOfTwo (candidates: readonly EndpointView[]): EndpointView | undefined {
   const first = pickOne(candidates)
   const second = pickOne(candidates)
   if (first === undefined || second === undefined) return first
-  return loadOf(second) < loadOf(first) ? second : first
+  return computeLoad(second) < computeLoad(first) ? second : first
 }
 
-function loadOf (view: EndpointView): number {
+function computeLoad (view: EndpointView): number {
   return view.load.reportedInFlight + view.outstanding
 }
--- a/routing/reservations/src/index.ts
+++ b/routing/reservations/src/index.ts
@@ -1,76 +1,78 @@
 /**
- * The reservations a sidecar holds: for each entry a standing summary of the
- * work that waits there. When an endpoint has a free slot, the book picks the
- * entry and class to offer it to: a class owed its floor first, then the
- * highest tier, then entries in proportion to the organisations they speak for.
+ * The demand that entries report to a sidecar: for each entry a summary of its waiting requests. The book assigns each free slot
+ * of an endpoint to an entry and a class: first to a class that is entitled to its floor, then to the highest tier, and among
+ * entries in proportion to the number of organisations whose requests wait there.
  */
 import { type Tier } from '@gullwall/core.types'
 import { type DemandRow } from '@gullwall/transport.messages'
 
-/** Whom a free slot is offered to. */
+/** The entry and class to which a free slot is offered. */
 export interface Pick {
   entry: string
   class: string
   tier: Tier
-  /** The class gets the slot for its floor, ahead of higher tiers. */
+  /** Whether the class receives the slot for its floor, ahead of higher tiers. */
   floor: boolean
 }
 
-/** The most floor grants a class may be owed, so that a long wait does not turn into a burst. */
+/** The maximum floor credit of a class, in slots, so that a long wait is not followed by a burst. */
 const MAX_FLOOR_CREDIT = 2
 
 export class ReservationBook {
+  /** The summaries by entry. */
   private readonly demands = new Map<string, DemandRow[]>()
+  /** The floor credits by class, in slots. */
   private readonly credits = new Map<string, number>()
-  private readonly passes = new Map<string, number>()
+  /** The virtual times of stride scheduling, by entry. */
+  private readonly virtualTimes = new Map<string, number>()
 
-  /** Replaces what an entry waits for. */
+  /** Replaces the summary of an entry. */
   update (entry: string, rows: DemandRow[]): void {
     if (rows.length === 0) this.demands.delete(entry)
     else this.demands.set(entry, rows.map((row) => ({ ...row })))
   }
 
-  /** Forgets an entry whose link has closed. */
+  /** Removes an entry whose link has closed. */
   drop (entry: string): void {
     this.demands.delete(entry)
-    this.passes.delete(entry)
+    this.virtualTimes.delete(entry)
   }
 
-  /** The highest tier that waits for an endpoint, or undefined if none does. */
+  /** Returns the highest tier that waits for an endpoint, or undefined if no request waits for it. */
   highestTier (endpoint: string): Tier | undefined {
     let highest: Tier | undefined
-    for (const { row } of this.waitingFor(endpoint)) {
+    for (const { row } of this.findWaiting(endpoint)) {
       if (highest === undefined || row.tier < highest) highest = row.tier
     }
     return highest
   }
 
-  /** Picks for one free slot of an endpoint and takes one request off the summary it picked from. */
+  /** Assigns one free slot of an endpoint and subtracts one request from the chosen summary; undefined if no request waits for it. */
   pick (endpoint: string): Pick | undefined {
-    const waiting = [...this.waitingFor(endpoint)]
+    const waiting = [...this.findWaiting(endpoint)]
     if (waiting.length === 0) return undefined
-    this.accrue(waiting)
-    const owed = this.mostOwed(waiting)
-    const chosenTier = owed ?? highestOf(waiting)
-    const candidates = waiting.filter(({ row }) => owed === undefined ? row.tier === chosenTier : row.class === owed)
-    const chosen = this.nextEntry(candidates)
+    this.accrueCredits(waiting)
+    const entitledClass = this.findEntitledClass(waiting)
+    const chosenTier = entitledClass ?? findHighestWaitingTier(waiting)
+    const candidates = waiting.filter(({ row }) => entitledClass === undefined ? row.tier === chosenTier : row.class === entitledClass)
+    const chosen = this.scheduleEntry(candidates)
     if (chosen === undefined) return undefined
     chosen.row.count -= 1
     this.credits.set(chosen.row.class, Math.max(0, (this.credits.get(chosen.row.class) ?? 0) - 1))
-    return { entry: chosen.entry, class: chosen.row.class, tier: chosen.row.tier, floor: owed !== undefined }
+    return { entry: chosen.entry, class: chosen.row.class, tier: chosen.row.tier, floor: entitledClass !== undefined }
   }
 
-  private * waitingFor (endpoint: string): Generator<Waiting> {
+  private * findWaiting (endpoint: string): Generator<WaitingRow> {
     for (const [entry, rows] of this.demands) {
       for (const row of rows) {
-        const mayServe = row.endpoints.length === 0 || row.endpoints.includes(endpoint)
-        if (row.count > 0 && mayServe) yield { entry, row }
+        const canServe = row.endpoints.length === 0 || row.endpoints.includes(endpoint)
+        if (row.count > 0 && canServe) yield { entry, row }
       }
     }
   }
 
-  /** Each grant earns every waiting class its floor's share of a grant. */
-  private accrue (waiting: readonly Waiting[]): void {
+  /** Credits every waiting class with its floor, a fraction of the slot that is assigned, and drops the credits of other classes. */
+  private accrueCredits (waiting: readonly WaitingRow[]): void {
     const floors = new Map(waiting.map(({ row }) => [row.class, row.floor]))
     for (const [name, floor] of floors) {
       this.credits.set(name, Math.min(MAX_FLOOR_CREDIT, (this.credits.get(name) ?? 0) + floor))
@@ -80,40 +82,41 @@
     }
   }
 
-  private mostOwed (waiting: readonly Waiting[]): string | undefined {
-    let owed: string | undefined
+  /** Returns the class with the highest floor credit of at least one slot. */
+  private findEntitledClass (waiting: readonly WaitingRow[]): string | undefined {
+    let entitled: string | undefined
     for (const { row } of waiting) {
       const credit = this.credits.get(row.class) ?? 0
-      if (credit >= 1 && credit > (owed === undefined ? 0 : this.credits.get(owed) ?? 0)) owed = row.class
+      if (credit >= 1 && credit > (entitled === undefined ? 0 : this.credits.get(entitled) ?? 0)) entitled = row.class
     }
-    return owed
+    return entitled
   }
 
-  /** Stride scheduling: each pick costs an entry the inverse of the organisations it speaks for. */
-  private nextEntry (candidates: readonly Waiting[]): Waiting | undefined {
-    let best: Waiting | undefined
+  /** Chooses an entry by stride scheduling: each slot advances its virtual time by the inverse of its number of organisations. */
+  private scheduleEntry (candidates: readonly WaitingRow[]): WaitingRow | undefined {
+    let best: WaitingRow | undefined
     for (const candidate of candidates) {
-      if (best === undefined || this.passOf(candidate) < this.passOf(best)) best = candidate
+      if (best === undefined || this.getVirtualTime(candidate) < this.getVirtualTime(best)) best = candidate
     }
     if (best === undefined) return undefined
-    const start = this.passOf(best)
+    const start = this.getVirtualTime(best)
     for (const { entry } of candidates) {
-      this.passes.set(entry, Math.max(this.passes.get(entry) ?? start, start))
+      this.virtualTimes.set(entry, Math.max(this.virtualTimes.get(entry) ?? start, start))
     }
-    this.passes.set(best.entry, start + 1 / Math.max(1, best.row.organisations))
+    this.virtualTimes.set(best.entry, start + 1 / Math.max(1, best.row.organisations))
     return best
   }
 
-  private passOf (candidate: Waiting): number {
-    return this.passes.get(candidate.entry) ?? 0
+  private getVirtualTime (candidate: WaitingRow): number {
+    return this.virtualTimes.get(candidate.entry) ?? 0
   }
 }
 
-interface Waiting {
+interface WaitingRow {
   entry: string
   row: DemandRow
 }
 
-function highestOf (waiting: readonly Waiting[]): Tier {
+function findHighestWaitingTier (waiting: readonly WaitingRow[]): Tier {
   return waiting.reduce((highest, { row }) => Math.min(highest, row.tier), Infinity)
 }
--- a/routing/selector/src/index.ts
+++ b/routing/selector/src/index.ts
@@ -1,11 +1,11 @@
 /**
- * Label selectors: `gpu=a100, dataCentre in (east, west), !spot`. Every part
- * must hold. An empty selector matches everything.
+ * Label selectors such as `gpu=a100, dataCentre in (east, west), !spot`. A selector matches if all its requirements are met; an
+ * empty selector matches everything.
  */
 import { Either, Left, Right } from 'purify-ts'
 import { type Labels } from '@gullwall/core.types'
 
-/** One condition of a selector. */
+/** One condition of a selector. `values` is empty for `exists` and `absent`. */
 export interface Requirement {
   key: string
   operator: 'in' | 'notin' | 'exists' | 'absent'
@@ -19,12 +19,12 @@
 const SET = new RegExp(`^(${KEY})\\s+(in|notin)\\s+\\(([^()]*)\\)$`)
 const EXISTENCE = new RegExp(`^(!?)\\s*(${KEY})$`)
 
-/** Parses a selector; Left names the part that can't be read. */
+/** Parses a selector. `Left` contains the first part that is invalid. */
 export function parseSelector (text: string): Either<string, Selector> {
   return Either.sequence(splitParts(text).map(parseRequirement))
 }
 
-/** Tells whether labels satisfy every requirement. */
+/** Whether the labels meet all requirements of the selector. */
 export function matches (selector: Selector, labels: Labels): boolean {
   return selector.every((requirement) => satisfies(requirement, labels[requirement.key]))
 }
--- a/routing/selector/test/selector.test.ts
+++ b/routing/selector/test/selector.test.ts
@@ -8,11 +8,11 @@
     ['', true], ['gpu=a100', true], ['gpu == a100', true], ['gpu!=a100', false], ['dataCentre in (east, west)', true],
     ['dataCentre notin (east)', false], ['colour notin (red)', true], ['spot', true], ['!spot', false], ['!colour', true],
     ['gpu=a100, dataCentre in (west)', false]
-  ])('%s gives %s', (text, expected) => {
+  ])('%s: matches is %s', (text, expected) => {
     expect(matches(parseSelector(text).unsafeCoerce(), labels)).toBe(expected)
   })
 
-  it.each(['=x', 'a in ()', 'a in (b', 'a,,b', 'a b'])('%s can\'t be read', (text) => {
+  it.each(['=x', 'a in ()', 'a in (b', 'a,,b', 'a b'])('%s is invalid', (text) => {
     expect(parseSelector(text).isLeft()).toBe(true)
   })
 })
