--- a/endpoint/crashes/src/crash-reporter.ts
+++ b/endpoint/crashes/src/crash-reporter.ts
@@ -1,38 +1,41 @@
-/** Tells control what was running at endpoints that crashed, again until a quorum has it. */
+/** Reports to control which requests were running at crashed endpoints, and repeats each report until a quorum has it. */
 import { messageOf } from '@gullwall/core.error'
 import { type Logger } from '@gullwall/core.logger'
 import { blamed, type Crash } from '@gullwall/routing.quarantine'
 import { type MessageOf } from '@gullwall/transport.messages'
 
-/** What breaks with one crash is told together after this time, in ms. */
-const TELL_MS = 20
-/** After which it is tried again, in ms. */
-const RETRY_MS = 300
-/** One message tells of so many crashes; the others follow. */
-const MAX_TOLD = 16
-/** Crashes that are kept while nobody can be told, and requests that are watched for running well; the oldest gives way. */
-const MAX_UNTOLD = 128
+/** The delay before a report is sent, in ms, so that it covers all requests of a crash. */
+const REPORT_DELAY_MS = 20
+/** The delay before a failed report is repeated, in ms. */
+const RETRY_DELAY_MS = 300
+/** The number of crashes in one report. */
+const MAX_CRASHES_PER_REPORT = 16
+/** The number of unreported crashes that are kept; the oldest is dropped. */
+const MAX_UNREPORTED = 128
+/** The number of requests that are watched for success after a crash; the oldest is dropped. */
 const MAX_WATCHED = 512
-/** Whoever could tell nobody for so long decides by itself, in ms: a quorum that has a leader answers within some 50 ms. */
-const ALONE_MS = 1000
+/** The time without a successful report after which this process decides alone, in ms: a quorum with a leader replies in about 50 ms. */
+const ISOLATION_MS = 1000
 
 export interface CrashReporterOptions {
-  tell: (word: Omit<MessageOf<'crashes'>, 'kind'>) => Promise<void>
+  /** Sends a report to control; rejects if no quorum has it. */
+  tell: (report: Omit<MessageOf<'crashes'>, 'kind'>) => Promise<void>
   logger: Logger
   now?: () => number
 }
 
 export class CrashReporter {
-  /** Crashes with requests since the start. */
+  /** The number of crashes recorded since the process started. */
   crashes = 0
-  private untold: Crash[] = []
-  /** Requests that ran well after they had been running at a crash. */
-  private ranWell: string[] = []
-  /** Requests that were running at a crash, as this process saw; they are cleared if they run well. */
+  private unreported: Crash[] = []
+  /** Fingerprints of requests that completed after they had been running at a crash, to be reported. */
+  private succeeded: string[] = []
+  /** Fingerprints of requests that were running at a crash and have not completed since. */
   private readonly watched = new Set<string>()
-  private untoldSince: number | undefined
-  private heldAlone: ReadonlySet<string> | undefined
-  private isTelling = false
+  /** The time from which reports are pending; undefined if none are. */
+  private pendingSince: number | undefined
+  private localDecision: ReadonlySet<string> | undefined
+  private isReporting = false
   private isStopped = false
   private timer: NodeJS.Timeout | undefined
   private readonly now: () => number
@@ -46,72 +49,72 @@
     clearTimeout(this.timer)
   }
 
-  /** Notes what was running at an endpoint that has crashed. */
+  /** Records a crash with the requests that were running there. */
   note (crash: Crash): void {
     this.crashes += 1
-    this.untold = [...this.untold, crash].slice(-MAX_UNTOLD)
-    this.heldAlone = undefined
+    this.unreported = [...this.unreported, crash].slice(-MAX_UNREPORTED)
+    this.localDecision = undefined
     for (const fingerprint of crash.requests) {
       this.watched.delete(fingerprint)
       this.watched.add(fingerprint)
     }
     for (const fingerprint of [...this.watched].slice(0, Math.max(0, this.watched.size - MAX_WATCHED))) this.watched.delete(fingerprint)
-    this.tellSoon()
+    this.scheduleNewReport()
   }
 
-  /** Notes that an endpoint has run a request and lives; the fingerprint is only taken where it may be of use. */
-  noteRanWell (fingerprintOf: () => string): void {
+  /** Records that a request completed without a crash. The fingerprint is computed only if requests are watched. */
+  noteRanWell (computeFingerprint: () => string): void {
     if (this.watched.size === 0) return
-    const fingerprint = fingerprintOf()
+    const fingerprint = computeFingerprint()
     if (!this.watched.delete(fingerprint)) return
-    this.ranWell = [...this.ranWell, fingerprint].slice(-MAX_WATCHED)
-    this.tellSoon()
+    this.succeeded = [...this.succeeded, fingerprint].slice(-MAX_WATCHED)
+    this.scheduleNewReport()
   }
 
-  /** Requests to hold by what this process alone has seen; none while control can be told, which knows more. */
+  /** The requests to quarantine by this process's own crashes. Empty while reports reach control, which knows of more crashes. */
   get heldWithoutControl (): ReadonlySet<string> {
-    const isAlone = this.untoldSince !== undefined && this.now() - this.untoldSince > ALONE_MS
-    if (!isAlone) return NONE
-    this.heldAlone ??= new Set(blamed({ crashes: byEndpoint(this.untold), held: NONE, suspected: NONE }))
-    return this.heldAlone
+    const isIsolated = this.pendingSince !== undefined && this.now() - this.pendingSince > ISOLATION_MS
+    if (!isIsolated) return NONE
+    this.localDecision ??= new Set(blamed({ crashes: groupByEndpoint(this.unreported), held: NONE, suspected: NONE }))
+    return this.localDecision
   }
 
-  private tellSoon (): void {
-    this.untoldSince ??= this.now()
-    this.tellIn(TELL_MS)
+  private scheduleNewReport (): void {
+    this.pendingSince ??= this.now()
+    this.scheduleReport(REPORT_DELAY_MS)
   }
 
-  private tellIn (ms: number): void {
-    if (this.isStopped || this.isTelling || this.timer !== undefined) return
-    this.timer = setTimeout(() => { void this.tell() }, ms)
+  private scheduleReport (delayMs: number): void {
+    if (this.isStopped || this.isReporting || this.timer !== undefined) return
+    this.timer = setTimeout(() => { void this.sendReport() }, delayMs)
   }
 
-  private async tell (): Promise<void> {
+  private async sendReport (): Promise<void> {
     this.timer = undefined
-    this.isTelling = true
-    const crashes = this.untold.slice(0, MAX_TOLD)
-    const ranWell = this.ranWell
-    let waitMs = TELL_MS
+    this.isReporting = true
+    const crashes = this.unreported.slice(0, MAX_CRASHES_PER_REPORT)
+    const succeeded = this.succeeded
+    let delayMs = REPORT_DELAY_MS
     try {
-      await this.options.tell({ crashes, ranWell })
-      this.untold = this.untold.filter((crash) => !crashes.includes(crash))
-      this.ranWell = this.ranWell.filter((fingerprint) => !ranWell.includes(fingerprint))
-      this.heldAlone = undefined
-      this.untoldSince = this.untold.length + this.ranWell.length === 0 ? undefined : this.now()
+      await this.options.tell({ crashes, ranWell: succeeded })
+      this.unreported = this.unreported.filter((crash) => !crashes.includes(crash))
+      this.succeeded = this.succeeded.filter((fingerprint) => !succeeded.includes(fingerprint))
+      this.localDecision = undefined
+      this.pendingSince = this.unreported.length + this.succeeded.length === 0 ? undefined : this.now()
     } catch (error) {
-      waitMs = RETRY_MS
-      this.options.logger.sampled('crashes not told', { channel: 'quarantine', event: 'postponed', fingerprint: '', why: messageOf(error) })
+      delayMs = RETRY_DELAY_MS
+      this.options.logger.sampled('crashes not reported', { channel: 'quarantine', event: 'postponed', fingerprint: '', why: messageOf(error) })
     }
-    this.isTelling = false
-    if (this.untoldSince !== undefined) this.tellIn(waitMs)
+    this.isReporting = false
+    if (this.pendingSince !== undefined) this.scheduleReport(delayMs)
   }
 }
 
 const NONE: ReadonlySet<string> = new Set()
 
-/** What ran at each endpoint, put together from several words. */
-function byEndpoint (crashes: readonly Crash[]): Array<Set<string>> {
-  const found = new Map<string, Set<string>>()
-  for (const { endpoint, requests } of crashes) found.set(endpoint, new Set([...found.get(endpoint) ?? [], ...requests]))
-  return [...found.values()]
+/** Merges the requests of all reports about one endpoint. */
+function groupByEndpoint (crashes: readonly Crash[]): Array<Set<string>> {
+  const groups = new Map<string, Set<string>>()
+  for (const { endpoint, requests } of crashes) groups.set(endpoint, new Set([...groups.get(endpoint) ?? [], ...requests]))
+  return [...groups.values()]
 }
--- a/endpoint/crashes/src/crash-watch.ts
+++ b/endpoint/crashes/src/crash-watch.ts
@@ -1,58 +1,59 @@
 /**
- * Tells endpoints whose process has ended on its own from those that are stopped as planned, cut off or without power. A
- * connection that breaks may mean any of these; that the address refuses connections, or that another incarnation is heard
- * there, while the endpoint has said nothing of leaving, means a crash.
+ * Distinguishes crashes of endpoints from planned stops, network failures and power losses. Any of these may close a
+ * connection. A crash is assumed if the address also refuses connections or has a new incarnation, and the endpoint has not
+ * announced that it is leaving.
  */
 import { connect } from 'node:net'
 import { type Lease } from '@gullwall/transport.messages'
 
-/** What a look at an endpoint's address showed. A box without power, or behind a cut, says nothing. */
+/** The result of connecting to an endpoint's address; `silent` if its box has no power or can't be reached. */
 export type ProbeResult = 'refused' | 'open' | 'silent'
 
-/** One request that was running at an endpoint when its connection broke. */
+/** A request that was running at an endpoint when its connection closed. */
 export interface BrokenRequest {
   requestId: string
   fingerprint: string
 }
 
-/** What is known of an endpoint here when a connection to it breaks. */
+/** The local state of an endpoint when a connection to it closes unexpectedly. */
 export interface BrokenEndpoint {
   incarnation: string
   address: string
-  /** For how long nothing was heard of it though others were, in ms. */
+  /** The time without heartbeats of the endpoint while those of other endpoints arrived, in ms. */
   silentMs: number
 }
 
 export interface CrashWatchOptions {
-  /** What the endpoint has said of itself; undefined if it has no lease. */
+  /** Returns the state that the endpoint last reported; undefined if it has no lease. */
   stateOf: (incarnation: string) => Lease['state'] | undefined
+  /** Whether a newer incarnation of the endpoint is known. */
   isReplaced: (incarnation: string) => boolean
-  /** Told of each crash with what was running there; more than once where connections break one after the other. */
+  /** Called with the requests running at a crash, and again with each request whose connection closes later. */
   onCrash: (endpoint: string, requests: BrokenRequest[]) => void
   probe?: (address: string) => Promise<ProbeResult>
   now?: () => number
 }
 
-/** For so long after a break a crash is looked for, in ms: engines that start again are heard of within a heartbeat or two. */
-const LOOKED_FOR_MS = 3000
-/** What breaks so long after a crash was running there too, in ms; a connection may be noticed late by a box that was held. */
-const CRASHED_KEPT_MS = 10_000
-/** A box that was silent for so long before lost its power or its link, in ms; its connections are reset when it is back. */
-const SILENT_MS = 4000
-const LOOK_MS = 100
-/** Requests that are kept of one endpoint: as many as control keeps of one crash. */
+/** The time in which a crash is looked for after a connection closed, in ms: a restarted engine sends heartbeats within two intervals. */
+const DETECTION_MS = 3000
+/** The time after a crash in which further closed connections count towards it, in ms: a box that was suspended notices them late. */
+const CRASH_RETENTION_MS = 10_000
+/** An endpoint silent for longer than this lost power or its network, in ms; its connections are reset when the box is back. */
+const MAX_SILENT_MS = 4000
+const CHECK_INTERVAL_MS = 100
+/** The number of requests kept for one endpoint, as in control. */
 const MAX_REQUESTS = 128
-/** An address that neither takes nor refuses a connection within this time says nothing, in ms: many round trips. */
-const PROBE_MS = 400
+/** An address that neither accepts nor refuses a connection within this time is silent, in ms: many round trips. */
+const PROBE_TIMEOUT_MS = 400
 
-interface Watched {
+interface WatchedEndpoint {
   requests: BrokenRequest[]
   since: number
   hasCrashed: boolean
 }
 
 export class CrashWatch {
-  private readonly watched = new Map<string, Watched>()
+  private readonly watched = new Map<string, WatchedEndpoint>()
   private readonly now: () => number
   private readonly probe: (address: string) => Promise<ProbeResult>
   private timer: NodeJS.Timeout | undefined
@@ -63,19 +64,19 @@
   }
 
   start (): void {
-    this.timer = setInterval(() => this.look(), LOOK_MS)
+    this.timer = setInterval(() => this.look(), CHECK_INTERVAL_MS)
   }
 
   stop (): void {
     clearInterval(this.timer)
   }
 
-  /** How many endpoints are watched. */
+  /** The number of endpoints that are watched for a crash or have recently crashed. */
   get size (): number {
     return this.watched.size
   }
 
-  /** Notes that a connection ended by itself while a request was running there. */
+  /** Records that a connection closed unexpectedly while a request was running at the endpoint. */
   noteBroken (endpoint: BrokenEndpoint, request: BrokenRequest): void {
     const { incarnation, address, silentMs } = endpoint
     const known = this.watched.get(incarnation)
@@ -85,8 +86,8 @@
       return
     }
     const now = this.now()
-    if (this.options.stateOf(incarnation) !== 'ready' || silentMs > SILENT_MS) return
-    const watched: Watched = { requests: [request], since: now, hasCrashed: false }
+    if (this.options.stateOf(incarnation) !== 'ready' || silentMs > MAX_SILENT_MS) return
+    const watched: WatchedEndpoint = { requests: [request], since: now, hasCrashed: false }
     this.watched.set(incarnation, watched)
     void this.probe(address).then((result) => {
       if (result === 'refused') this.noteEnded(incarnation)
@@ -94,7 +95,7 @@
     })
   }
 
-  /** Notes that an endpoint's process is no longer at its address. */
+  /** Records that an endpoint's process is no longer at its address. This is a crash unless the endpoint was leaving. */
   noteEnded (incarnation: string): void {
     const known = this.watched.get(incarnation)
     if (known === undefined || known.hasCrashed) return
@@ -106,29 +107,29 @@
     this.options.onCrash(incarnation, [...known.requests])
   }
 
-  /** Looks for crashes that show late, and forgets what is over; called at even intervals. */
+  /** Detects crashes by their new incarnations, and drops endpoints that are no longer watched. It is called periodically. */
   look (): void {
     const now = this.now()
     for (const [incarnation, { since, hasCrashed }] of this.watched) {
       if (!hasCrashed && this.options.isReplaced(incarnation)) this.noteEnded(incarnation)
-      else if (now - since > (hasCrashed ? CRASHED_KEPT_MS : LOOKED_FOR_MS)) this.watched.delete(incarnation)
+      else if (now - since > (hasCrashed ? CRASH_RETENTION_MS : DETECTION_MS)) this.watched.delete(incarnation)
     }
   }
 }
 
-/** Opens a connection to an address and closes it. */
+/** Opens a connection to an address, given as host and port, and closes it. */
 export async function probeAddress (address: string): Promise<ProbeResult> {
   const colon = address.lastIndexOf(':')
   return await new Promise((resolve) => {
     const socket = connect({ host: address.slice(0, colon), port: Number(address.slice(colon + 1)) })
-    const timer = setTimeout(() => done('silent'), PROBE_MS)
+    const timer = setTimeout(() => done('silent'), PROBE_TIMEOUT_MS)
     const done = (result: ProbeResult) => {
       clearTimeout(timer)
       socket.destroy()
       resolve(result)
     }
     socket.once('connect', () => done('open'))
-    // Only a refusal says that nobody is there; an endpoint with too many connections resets them.
+    // Only a refused connection shows that no process is listening; an endpoint with too many connections resets new ones.
     socket.once('error', ({ code }: NodeJS.ErrnoException) => done(code === 'ECONNREFUSED' ? 'refused' : code === 'ECONNRESET' ? 'open' : 'silent'))
   })
 }
--- a/endpoint/crashes/src/index.ts
+++ b/endpoint/crashes/src/index.ts
@@ -1,3 +1,3 @@
-/** Which endpoints crash, and what was running there. */
+/** Detection of endpoint crashes, and reports of the requests that were running there. */
 export * from './crash-reporter.ts'
 export * from './crash-watch.ts'
--- a/endpoint/crashes/test/crash-reporter.test.ts
+++ b/endpoint/crashes/test/crash-reporter.test.ts
@@ -2,22 +2,22 @@
 import { type MessageOf } from '@gullwall/transport.messages'
 import { CrashReporter } from '../src/crash-reporter.ts'
 
-type Word = Omit<MessageOf<'crashes'>, 'kind'>
+type Report = Omit<MessageOf<'crashes'>, 'kind'>
 
-describe('what a box saw of crashed endpoints', () => {
-  let words: Word[]
-  let canTell: boolean
+describe('the crash reporter', () => {
+  let reports: Report[]
+  let isControlReachable: boolean
   let reporter: CrashReporter
 
   beforeEach(() => {
     vi.useFakeTimers()
-    words = []
-    canTell = true
+    reports = []
+    isControlReachable = true
     reporter = new CrashReporter({
       logger: { sampled: () => {} } as never,
-      tell: async (word) => {
-        if (!canTell) throw new Error('no quorum')
-        words.push(word)
+      tell: async (report) => {
+        if (!isControlReachable) throw new Error('no quorum')
+        reports.push(report)
       }
     })
   })
@@ -26,52 +26,52 @@
     vi.useRealTimers()
   })
 
-  const crash = (number: number, ...requests: string[]) => reporter.note({ endpoint: `i-${number}`, requests })
+  const recordCrash = (number: number, ...requests: string[]) => reporter.note({ endpoint: `i-${number}`, requests })
 
-  it('is told together, once', async () => {
-    crash(1, 'a')
-    crash(2, 'a', 'b')
+  it('reports crashes of the same moment together and once', async () => {
+    recordCrash(1, 'a')
+    recordCrash(2, 'a', 'b')
     await vi.advanceTimersByTimeAsync(5000)
-    expect(words).toEqual([{ crashes: [{ endpoint: 'i-1', requests: ['a'] }, { endpoint: 'i-2', requests: ['a', 'b'] }], ranWell: [] }])
+    expect(reports).toEqual([{ crashes: [{ endpoint: 'i-1', requests: ['a'] }, { endpoint: 'i-2', requests: ['a', 'b'] }], ranWell: [] }])
   })
 
-  it('is told again until somebody has taken it', async () => {
-    canTell = false
-    crash(1, 'a')
+  it('repeats a report until control has accepted it', async () => {
+    isControlReachable = false
+    recordCrash(1, 'a')
     await vi.advanceTimersByTimeAsync(3000)
-    canTell = true
+    isControlReachable = true
     await vi.advanceTimersByTimeAsync(1000)
-    expect(words.map(({ crashes }) => crashes.length)).toEqual([1])
+    expect(reports.map(({ crashes }) => crashes.length)).toEqual([1])
   })
 
-  it('decides here while nobody can be told, and no longer once control knows', async () => {
-    canTell = false
-    for (const number of [1, 2, 3]) crash(number, 'a', `only-${number}`)
+  it('quarantines requests locally while control is unreachable, and no longer once control has the report', async () => {
+    isControlReachable = false
+    for (const number of [1, 2, 3]) recordCrash(number, 'a', `only-${number}`)
     expect(reporter.heldWithoutControl.size).toBe(0)
     await vi.advanceTimersByTimeAsync(1500)
     expect([...reporter.heldWithoutControl]).toEqual(['a'])
-    canTell = true
+    isControlReachable = true
     await vi.advanceTimersByTimeAsync(1000)
     expect(reporter.heldWithoutControl.size).toBe(0)
   })
 
-  it('is taken back for a request that runs well afterwards, and asks for no fingerprint where nothing is watched', async () => {
+  it('reports a watched request that completed once, and computes no fingerprint while no request is watched', async () => {
     reporter.noteRanWell(() => { throw new Error('not needed') })
-    crash(1, 'a')
+    recordCrash(1, 'a')
     reporter.noteRanWell(() => 'another')
     reporter.noteRanWell(() => 'a')
     reporter.noteRanWell(() => 'a')
     await vi.advanceTimersByTimeAsync(100)
-    expect(words.flatMap(({ ranWell }) => ranWell)).toEqual(['a'])
+    expect(reports.flatMap(({ ranWell }) => ranWell)).toEqual(['a'])
   })
 
-  it('stays bounded while nobody can be told, and goes out in parts', async () => {
-    canTell = false
-    for (let number = 0; number < 1000; number += 1) crash(number, `r-${number}`)
+  it('keeps a bounded number of crashes while control is unreachable, and reports them in several messages', async () => {
+    isControlReachable = false
+    for (let number = 0; number < 1000; number += 1) recordCrash(number, `r-${number}`)
     await vi.advanceTimersByTimeAsync(1000)
-    canTell = true
+    isControlReachable = true
     await vi.advanceTimersByTimeAsync(5000)
-    expect(words.flatMap(({ crashes }) => crashes).length).toBe(128)
-    expect(Math.max(...words.map(({ crashes }) => crashes.length))).toBe(16)
+    expect(reports.flatMap(({ crashes }) => crashes).length).toBe(128)
+    expect(Math.max(...reports.map(({ crashes }) => crashes.length))).toBe(16)
   })
 })
--- a/endpoint/crashes/test/crash-watch.test.ts
+++ b/endpoint/crashes/test/crash-watch.test.ts
@@ -7,114 +7,114 @@
 const FIRST: BrokenRequest = { requestId: 'r1', fingerprint: 'f1' }
 const SECOND: BrokenRequest = { requestId: 'r2', fingerprint: 'f2' }
 
-/** Lets what waits for a probe go on. */
-const settled = async () => { await new Promise((resolve) => setImmediate(resolve)) }
+/** Waits until the results of probes have been handled. */
+const probesHandled = async () => { await new Promise((resolve) => setImmediate(resolve)) }
 
-describe('an endpoint whose connection breaks while requests run there', () => {
+describe('an endpoint whose connection closes while requests are running there', () => {
   let now: number
   let state: Lease['state'] | undefined
   let isReplaced: boolean
-  let probed: ProbeResult
+  let probeResult: ProbeResult
   let probes: number
-  let told: Array<{ endpoint: string, requests: BrokenRequest[] }>
+  let reported: Array<{ endpoint: string, requests: BrokenRequest[] }>
   let watch: CrashWatch
 
   beforeEach(() => {
     now = 1000
     state = 'ready'
     isReplaced = false
-    probed = 'refused'
+    probeResult = 'refused'
     probes = 0
-    told = []
+    reported = []
     watch = new CrashWatch({
       stateOf: () => state,
       isReplaced: () => isReplaced,
-      onCrash: (endpoint, requests) => told.push({ endpoint, requests }),
+      onCrash: (endpoint, requests) => reported.push({ endpoint, requests }),
       probe: async () => {
         probes += 1
-        return probed
+        return probeResult
       },
       now: () => now
     })
   })
 
-  it('has crashed where its address refuses connections; all that ran there is told, also what breaks later', async () => {
+  it('has crashed if its address refuses connections, and all requests running there are reported, also later ones', async () => {
     watch.noteBroken(ENGINE, FIRST)
     watch.noteBroken(ENGINE, SECOND)
-    await settled()
-    expect(told).toEqual([{ endpoint: 'i-1', requests: [FIRST, SECOND] }])
+    await probesHandled()
+    expect(reported).toEqual([{ endpoint: 'i-1', requests: [FIRST, SECOND] }])
     watch.noteBroken(ENGINE, { requestId: 'r3', fingerprint: 'f3' })
-    expect(told.at(-1)?.requests).toEqual([{ requestId: 'r3', fingerprint: 'f3' }])
+    expect(reported.at(-1)?.requests).toEqual([{ requestId: 'r3', fingerprint: 'f3' }])
     expect(probes).toBe(1)
   })
 
-  it.each<[string, Partial<{ state: Lease['state'], probed: ProbeResult, silentMs: number }>]>([
-    ['it lives: its connections were reset, or it fails a part of its requests', { probed: 'open' }],
-    ['nothing is heard there: it is cut off, or its box has no power', { probed: 'silent' }],
-    ['it has said that it leaves', { state: 'draining' }],
-    ['it has said that it is gone', { state: 'gone' }],
-    ['it was silent long before: its box was without power and is back', { silentMs: 5000 }]
-  ])('has not crashed where %s', async (_what, change) => {
+  it.each<[string, Partial<{ state: Lease['state'], probeResult: ProbeResult, silentMs: number }>]>([
+    ['its address accepts connections: it reset connections or fails some requests', { probeResult: 'open' }],
+    ['its address is silent: its network failed or its box has no power', { probeResult: 'silent' }],
+    ['it has reported that it is draining', { state: 'draining' }],
+    ['it has reported that it is gone', { state: 'gone' }],
+    ['it was silent for long before: its box had no power and is back', { silentMs: 5000 }]
+  ])('has not crashed if %s', async (_condition, change) => {
     state = change.state ?? 'ready'
-    probed = change.probed ?? 'refused'
+    probeResult = change.probeResult ?? 'refused'
     watch.noteBroken({ ...ENGINE, silentMs: change.silentMs ?? 0 }, FIRST)
-    await settled()
-    for (let turn = 0; turn < 50; turn += 1) {
+    await probesHandled()
+    for (let check = 0; check < 50; check += 1) {
       now += 100
       watch.look()
     }
-    expect(told).toEqual([])
+    expect(reported).toEqual([])
     expect(watch.size).toBe(0)
   })
 
-  it('has crashed where its successor is there already, as a box finds that was suspended meanwhile', async () => {
-    probed = 'open'
+  it('has crashed if its next incarnation is known, although the address accepts connections again', async () => {
+    probeResult = 'open'
     watch.noteBroken(ENGINE, FIRST)
-    await settled()
+    await probesHandled()
     watch.look()
-    expect(told).toEqual([])
+    expect(reported).toEqual([])
     isReplaced = true
     watch.look()
-    expect(told).toEqual([{ endpoint: 'i-1', requests: [FIRST] }])
+    expect(reported).toEqual([{ endpoint: 'i-1', requests: [FIRST] }])
   })
 
-  it('has crashed where another request finds that nothing listens there', async () => {
-    probed = 'open'
+  it('has crashed if a later request finds that no process is listening', async () => {
+    probeResult = 'open'
     watch.noteBroken(ENGINE, FIRST)
-    await settled()
+    await probesHandled()
     watch.noteEnded('i-1')
-    expect(told.length).toBe(1)
+    expect(reported.length).toBe(1)
   })
 
-  it('has not crashed where its word that it leaves comes a little later than the end of its connections', async () => {
-    probed = 'open'
+  it('has not crashed if it reports that it is leaving shortly after its connections closed', async () => {
+    probeResult = 'open'
     watch.noteBroken(ENGINE, FIRST)
-    await settled()
+    await probesHandled()
     state = 'gone'
     watch.noteEnded('i-1')
-    expect(told).toEqual([])
+    expect(reported).toEqual([])
   })
 
-  it('has crashed for good where that showed before a look at its address timed out', async () => {
-    probed = 'silent'
+  it('remains crashed if the probe of its address times out after the crash was detected', async () => {
+    probeResult = 'silent'
     watch.noteBroken(ENGINE, FIRST)
     watch.noteEnded('i-1')
-    await settled()
+    await probesHandled()
     watch.noteBroken(ENGINE, SECOND)
-    expect(told.map(({ requests }) => requests)).toEqual([[FIRST], [SECOND]])
+    expect(reported.map(({ requests }) => requests)).toEqual([[FIRST], [SECOND]])
   })
 
-  it('is forgotten some seconds after a crash', async () => {
+  it('is no longer watched some seconds after a crash', async () => {
     watch.noteBroken(ENGINE, FIRST)
-    await settled()
+    await probesHandled()
     now += 11_000
     watch.look()
     expect(watch.size).toBe(0)
   })
 })
 
-describe('a look at an address', () => {
-  it('tells whether somebody listens there', async () => {
+describe('the probe of an address', () => {
+  it('detects whether a process is listening', async () => {
     const server = createServer()
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve))
     const address = `127.0.0.1:${(server.address() as AddressInfo).port}`
--- a/endpoint/dialect/src/index.ts
+++ b/endpoint/dialect/src/index.ts
@@ -1,11 +1,8 @@
-/**
- * The typed interface to a back end. Each dialect that engines or services
- * speak is one package behind it.
- */
+/** The interface to an endpoint. Each API dialect of engines or services is a package that implements it. */
 import { type IncomingHttpHeaders } from 'node:http'
 import { type Readable } from 'node:stream'
 
-/** A call as it goes to a back end. */
+/** A request to an endpoint. */
 export interface EndpointCall {
   method: string
   /** Path and query. */
@@ -15,40 +12,41 @@
   signal: AbortSignal
 }
 
-/** Takes a back end's answer as it arrives. */
+/** Receives an endpoint's response while it arrives. */
 export interface AnswerReceiver {
+  /** Called with the status and headers of the final response. */
   onHead: (status: number, headers: IncomingHttpHeaders) => void
-  /** A promise holds the back end up until it resolves. */
+  /** Called with each chunk of the body. If it returns a promise, reading pauses until the promise resolves. */
   onData: (chunk: Buffer) => Promise<void> | undefined
 }
 
-/** What a model engine reports of itself; it comes late, and may be wrong. */
+/** The load that a model engine reports about itself. It is delayed and may be wrong. */
 export interface ReportedLoad {
   inFlight: number
 }
 
-/** The head of any answer of a back end, interim ones included. */
+/** The status and headers of a response, including interim responses. */
 export interface AnyHead {
   status: number
   headers: IncomingHttpHeaders
-  /** When the request was sent that it answers, by the monotonic clock. */
+  /** When the request was sent, in ms of the monotonic clock. */
   sentAt: number
 }
 
-/** Told of each head that a back end sends, whatever it was asked. */
+/** Called with the headers of every response of an endpoint, including responses to probes and load queries. */
 export type HeadListener = (head: AnyHead) => void
 
-/** One back end. */
+/** A back end that runs requests. */
 export interface Endpoint {
   /**
-   * Runs a call; resolves when its answer is whole.
-   * @throws ERR_GULLWALL_ENDPOINT_REFUSED if it was certainly not run,
-   *   ERR_GULLWALL_ENDPOINT_FAILED if that can't be told.
+   * Runs a request; resolves when the response is complete.
+   * @throws ERR_GULLWALL_ENDPOINT_REFUSED if the request was certainly not run,
+   *   ERR_GULLWALL_ENDPOINT_FAILED if it may have run.
    */
   run (call: EndpointCall, receiver: AnswerReceiver): Promise<void>
-  /** Reads the load report, where the dialect has one. */
+  /** Queries the load report, if the dialect has one. */
   reportedLoad? (): Promise<ReportedLoad>
-  /** Asks for a head only, for what the back end says of itself; it is no work. */
+  /** Requests only response headers, to read the notices in them. A probe does not count as a request in flight. */
   probe (): Promise<void>
   close (): Promise<void>
 }
--- a/endpoint/http/src/exchange.ts
+++ b/endpoint/http/src/exchange.ts
@@ -1,22 +1,21 @@
 /**
- * One HTTP exchange by undici, given to a receiver as it comes. Bytes go
- * straight from the connection to the receiver, without a readable stream between
- * them, which would cost a turn of the event loop and a buffer for each chunk.
+ * One HTTP exchange through undici, with a response that is streamed to a receiver. The receiver gets each chunk directly from
+ * the connection: a readable stream between them would need a turn of the event loop and a buffer for each chunk.
  */
 import { type Dispatcher, type Pool } from 'undici'
 import { type AnswerReceiver, type HeadListener } from '@gullwall/endpoint.dialect'
 
-/** The lowest status of an answer; those below it precede one. */
-const FINAL = 200
+/** The lowest status of a final response; lower ones are interim responses. */
+const MIN_FINAL_STATUS = 200
 
-/** Sends a request; resolves when the answer is whole, rejects if it breaks or the signal aborts it. */
+/** Sends a request. Resolves when the response is complete, and rejects if the response fails or the signal aborts it. */
 export function exchange (
   pool: Pool, options: Dispatcher.DispatchOptions, receiver: AnswerReceiver, signal: AbortSignal, onAnyHead: HeadListener = () => {}
 ): Promise<void> {
   let sentAt = performance.now()
   return new Promise((resolve, reject) => {
     let controller: Dispatcher.DispatchController | undefined
-    const abort = () => controller?.abort(abortReason(signal))
+    const abort = () => controller?.abort(getAbortReason(signal))
     const settle = (error?: Error) => {
       signal.removeEventListener('abort', abort)
       if (error === undefined) resolve()
@@ -31,13 +30,13 @@
       },
       onResponseStart: (_controller, status, headers) => {
         onAnyHead({ status, headers, sentAt })
-        if (status >= FINAL) receiver.onHead(status, headers)
+        if (status >= MIN_FINAL_STATUS) receiver.onHead(status, headers)
       },
       onResponseData: (started, chunk) => {
-        const busy = receiver.onData(chunk)
-        if (busy === undefined) return
+        const writable = receiver.onData(chunk)
+        if (writable === undefined) return
         started.pause()
-        busy.then(() => started.resume(), (error: Error) => started.abort(error))
+        writable.then(() => started.resume(), (error: Error) => started.abort(error))
       },
       onResponseEnd: () => settle(),
       onResponseError: (_controller, error) => settle(error)
@@ -45,6 +44,6 @@
   })
 }
 
-function abortReason (signal: AbortSignal): Error {
+function getAbortReason (signal: AbortSignal): Error {
   return signal.reason instanceof Error ? signal.reason : new Error('aborted')
 }
--- a/endpoint/http/src/index.ts
+++ b/endpoint/http/src/index.ts
@@ -1,4 +1,4 @@
-/** What the HTTP dialects have in common: one pool of connections to a back end by undici. */
+/** The HTTP client that all dialects use: a pool of undici connections for each endpoint. */
 import { Pool, type Dispatcher } from 'undici'
 import { GullwallError } from '@gullwall/core.error'
 import { type AnswerReceiver, type Endpoint, type EndpointCall, type HeadListener } from '@gullwall/endpoint.dialect'
@@ -6,13 +6,13 @@
 
 export { exchange } from './exchange.ts'
 
-/** Headers that belong to one connection and are never passed on (RFC 9110, section 7.6.1). */
+/** Headers that apply to a single connection and are never forwarded (RFC 9110, section 7.6.1). */
 const HOP_BY_HOP = new Set([
   'connection', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'proxy-connection', 'te', 'trailer', 'transfer-encoding', 'upgrade'
 ])
 const CONNECT_TIMEOUT_MS = 2000
-/** Errors that arise before the first byte of a request is sent. */
-const NOT_SENT = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT', 'EADDRNOTAVAIL'])
+/** Codes of errors that occur before the first byte of a request is sent. */
+const NOT_SENT_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT', 'EADDRNOTAVAIL'])
 
 /** Opens a pool of keep-alive connections to an address. */
 export function createPool (address: string): Pool {
@@ -21,28 +21,28 @@
   })
 }
 
-/** Gives the headers that may be passed on, without those named in `Connection` either. */
+/** Selects the headers that may be forwarded: no hop-by-hop headers and none that `Connection` lists. Names become lower case. */
 export function endToEndHeaders (headers: Record<string, string | string[] | undefined>): Record<string, string | string[]> {
-  const named = String(headers['connection'] ?? '').toLowerCase().split(',').map((name) => name.trim())
-  const kept: Record<string, string | string[]> = {}
+  const connectionHeaders = String(headers['connection'] ?? '').toLowerCase().split(',').map((name) => name.trim())
+  const selected: Record<string, string | string[]> = {}
   for (const [name, value] of Object.entries(headers)) {
     const lower = name.toLowerCase()
-    if (value === undefined || HOP_BY_HOP.has(lower) || named.includes(lower)) continue
-    kept[lower] = value
+    if (value === undefined || HOP_BY_HOP.has(lower) || connectionHeaders.includes(lower)) continue
+    selected[lower] = value
   }
-  return kept
+  return selected
 }
 
-/** Tells whether an error proves that nothing of the request was sent. */
+/** Whether an error proves that no part of the request was sent. */
 export function wasNotSent (error: unknown): boolean {
-  return NOT_SENT.has((error as NodeJS.ErrnoException).code ?? '')
+  return NOT_SENT_CODES.has((error as NodeJS.ErrnoException).code ?? '')
 }
 
-/** A back end reached by HTTP. */
+/** An endpoint that is reached by HTTP. */
 export class HttpEndpoint implements Endpoint {
   private readonly pool: Pool
 
-  /** @param onAnyHead told of each head that arrives */
+  /** @param onAnyHead listener for all response headers, including those of interim responses */
   constructor (private readonly name: string, private readonly address: string, private readonly onAnyHead: HeadListener = () => {}) {
     this.pool = createPool(address)
   }
@@ -52,27 +52,27 @@
     try {
       await exchange(this.pool, options, receiver, call.signal, this.onAnyHead)
     } catch (cause) {
-      const certain = wasNotSent(cause)
-      throw new GullwallError(certain ? 'ERR_GULLWALL_ENDPOINT_REFUSED' : 'ERR_GULLWALL_ENDPOINT_FAILED',
-        certain ? 'the endpoint takes no connection' : 'the endpoint failed before its answer was whole',
+      const isUnsent = wasNotSent(cause)
+      throw new GullwallError(isUnsent ? 'ERR_GULLWALL_ENDPOINT_REFUSED' : 'ERR_GULLWALL_ENDPOINT_FAILED',
+        isUnsent ? 'the endpoint could not be connected to' : 'the endpoint failed before its response was complete',
         { step: 'run', peer: `${this.name}@${this.address}`, cause })
     }
   }
 
-  /** Reads a JSON page of the back end. */
+  /** Requests a path and parses the response as JSON, whatever its status. */
   async getJson (path: string): Promise<unknown> {
-    return await (await this.ask('GET', path)).body.json()
+    return await (await this.request('GET', path)).body.json()
   }
 
   async probe (): Promise<void> {
-    await (await this.ask('HEAD', '/')).body.dump()
+    await (await this.request('HEAD', '/')).body.dump()
   }
 
-  private async ask (method: Dispatcher.HttpMethod, path: string): Promise<Dispatcher.ResponseData> {
+  private async request (method: Dispatcher.HttpMethod, path: string): Promise<Dispatcher.ResponseData> {
     const sentAt = performance.now()
-    const answer = await this.pool.request({ method, path, headersTimeout: CONNECT_TIMEOUT_MS, bodyTimeout: CONNECT_TIMEOUT_MS })
-    this.onAnyHead({ status: answer.statusCode, headers: answer.headers, sentAt })
-    return answer
+    const response = await this.pool.request({ method, path, headersTimeout: CONNECT_TIMEOUT_MS, bodyTimeout: CONNECT_TIMEOUT_MS })
+    this.onAnyHead({ status: response.statusCode, headers: response.headers, sentAt })
+    return response
   }
 
   close (): Promise<void> {
--- a/endpoint/notices/src/index.ts
+++ b/endpoint/notices/src/index.ts
@@ -1,4 +1,4 @@
-/** What endpoints say of themselves in the heads of their answers. */
+/** Notices: what endpoints state about themselves in response headers. */
 export * from './limit.ts'
 export * from './notices.ts'
 export * from './retry-after.ts'
--- a/endpoint/notices/src/limit.ts
+++ b/endpoint/notices/src/limit.ts
@@ -1,26 +1,26 @@
-/** Reads how many requests a second an endpoint takes from all boxes together. */
+/** Parses the rate limit that an endpoint advertises for the requests of all boxes together. */
 
-/** What one head says of the limit. */
+/** The advertised limit in the headers of one response. */
 export interface LimitWord {
-  /** Requests a second, 0 or more; undefined where the head names no limit, so that none is in force any more. */
+  /** Requests per second, 0 or more; undefined if the headers contain no limit, which ends an earlier one. */
   perSecond: number | undefined
 }
 
 export interface LimitReading {
-  /** Undefined where the head leaves it as it was. */
+  /** Undefined if the headers do not change the limit. */
   word: LimitWord | undefined
-  /** What it named where that can not be understood. */
+  /** The header values if none of them is valid. */
   unreadable?: string | undefined
 }
 
 export interface LimitOptions {
-  /** Whether the head precedes that of the answer itself (1xx): it may name a limit, but that it names none tells nothing. */
+  /** Whether the response is interim (1xx). It may advertise a limit, but a missing header does not end one. */
   isInterim: boolean
 }
 
 const DECIMAL = /^(?:\d+\.?\d*|\.\d+)$/
 
-/** Reads the values of the header. Of several the smallest holds; one that can not be understood changes nothing. */
+/** Parses the values of the limit header. The smallest of several limits applies, and invalid values are ignored. */
 export function readLimit (values: readonly string[], { isInterim }: LimitOptions): LimitReading {
   if (values.length === 0) return { word: isInterim ? undefined : { perSecond: undefined } }
   const texts = values.flatMap((value) => value.split(',')).map((text) => text.trim())
--- a/endpoint/notices/src/notices.ts
+++ b/endpoint/notices/src/notices.ts
@@ -1,79 +1,79 @@
-/** The notices in the head of one answer. */
+/** Parses the notices in the headers of one response. */
 import { readLimit, type LimitWord } from './limit.ts'
 import { readRetryAfter } from './retry-after.ts'
 
 /** Header names in lower case. */
 export type AnswerHeaders = Record<string, string | string[] | undefined>
 
-/** What an endpoint says of itself, besides its answer. */
+/** What an endpoint states about itself in response headers. */
 export interface Notices {
-  /** Whether it takes no new work, since it is about to end. */
+  /** Whether the endpoint accepts no new requests, since it is about to stop. */
   isDraining: boolean
-  /** For how long it wants nothing more, in ms from the answer on; undefined where it does not ask for that. */
+  /** The requested backoff in ms after the response; undefined if the endpoint requests none. */
   backOffMs: number | undefined
-  /** How many requests it takes from all boxes together; undefined where this head says nothing of that. */
+  /** The advertised limit; undefined if these headers do not change it. */
   limit?: LimitWord | undefined
-  /** What it asked for where that can not be understood. */
+  /** Header values that are invalid, shortened. */
   unreadable?: string | undefined
 }
 
 export interface NoticesOptions {
   status: number
   headers: AnswerHeaders
-  /** The header by which endpoints say that they drain, in lower case; the product's own unless an adapter brings another. */
+  /** The header that marks an endpoint as draining, in lower case; Gullwall's own unless an adapter provides another. */
   drainingHeader?: string
-  /** The header by which endpoints name how many requests a second they take; likewise. */
+  /** The header with the advertised limit in requests per second, in lower case; Gullwall's own unless an adapter provides another. */
   limitHeader?: string
-  /** The time of day, Unix ms. */
+  /** The current time in Unix ms. */
   now?: number
 }
 
-/** The product's own header by which endpoints say that they drain. */
+/** Gullwall's own header that marks an endpoint as draining. */
 const DRAINING_HEADER = 'x-gullwall-draining'
-/** The product's own header by which endpoints name how many requests a second they take. */
+/** Gullwall's own header with the advertised limit in requests per second. */
 const LIMIT_HEADER = 'x-gullwall-limit'
-/** The statuses with which an endpoint turns work away for a time; `Retry-After` of others is meant for the caller. */
-const TURNED_AWAY: ReadonlySet<number> = new Set([429, 503])
-/** The lowest status of an answer; heads below it precede one. */
-const FINAL = 200
-/** Characters of an unreadable value that are told. */
-const MAX_TOLD = 60
-/** What says that a header's statement does not hold. */
-const DENIALS: ReadonlySet<string> = new Set(['', '0', 'false', 'no'])
+/** The statuses with which an endpoint rejects requests for a time. With other statuses `Retry-After` is meant for the caller. */
+const BACKOFF_STATUSES: ReadonlySet<number> = new Set([429, 503])
+/** The lowest status of a final response; lower ones are interim responses. */
+const MIN_FINAL_STATUS = 200
+/** The number of characters of invalid values that are kept. */
+const MAX_UNREADABLE_LENGTH = 60
+/** The values of the draining header that mean false, in lower case. */
+const FALSE_VALUES: ReadonlySet<string> = new Set(['', '0', 'false', 'no'])
 
-/** Reads the notices of an answer, whatever it is an answer to. */
+/** Parses the notices in the headers of any response. */
 export function readNotices (options: NoticesOptions): Notices {
   const { headers, drainingHeader = DRAINING_HEADER, limitHeader = LIMIT_HEADER, status } = options
-  const isDraining = valuesOf(headers, drainingHeader).some((value) => !DENIALS.has(value.trim().toLowerCase()))
-  const limit = readLimit(valuesOf(headers, limitHeader), { isInterim: status < FINAL })
-  const notices: Notices = { isDraining, limit: limit.word, ...readBackOff(options) }
+  const isDraining = getValues(headers, drainingHeader).some((value) => !FALSE_VALUES.has(value.trim().toLowerCase()))
+  const limit = readLimit(getValues(headers, limitHeader), { isInterim: status < MIN_FINAL_STATUS })
+  const notices: Notices = { isDraining, limit: limit.word, ...parseBackoff(options) }
   const unreadable = [notices.unreadable, limit.unreadable].filter((text) => text !== undefined)
-  return unreadable.length === 0 ? notices : { ...notices, unreadable: unreadable.join(' | ').slice(0, MAX_TOLD) }
+  return unreadable.length === 0 ? notices : { ...notices, unreadable: unreadable.join(' | ').slice(0, MAX_UNREADABLE_LENGTH) }
 }
 
-function readBackOff ({ status, headers, now = Date.now() }: NoticesOptions): Pick<Notices, 'backOffMs' | 'unreadable'> {
-  const asked = TURNED_AWAY.has(status) ? valuesOf(headers, 'retry-after') : []
-  if (asked.length === 0) return { backOffMs: undefined }
-  const [date] = valuesOf(headers, 'date')
-  const times = asked.map((text) => readRetryAfter(text, { date, now })).filter((ms) => ms !== undefined)
-  if (times.length === 0) return { backOffMs: undefined, unreadable: asked.join(' | ').slice(0, MAX_TOLD) }
+function parseBackoff ({ status, headers, now = Date.now() }: NoticesOptions): Pick<Notices, 'backOffMs' | 'unreadable'> {
+  const values = BACKOFF_STATUSES.has(status) ? getValues(headers, 'retry-after') : []
+  if (values.length === 0) return { backOffMs: undefined }
+  const [date] = getValues(headers, 'date')
+  const times = values.map((text) => readRetryAfter(text, { date, now })).filter((ms) => ms !== undefined)
+  if (times.length === 0) return { backOffMs: undefined, unreadable: values.join(' | ').slice(0, MAX_UNREADABLE_LENGTH) }
   return { backOffMs: Math.max(...times) }
 }
 
-/** All values of a header that came once or several times. */
-function valuesOf (headers: AnswerHeaders, name: string): string[] {
+/** Returns all values of a header, which may occur several times. */
+function getValues (headers: AnswerHeaders, name: string): string[] {
   const value = headers[name]
   if (value === undefined) return []
   return Array.isArray(value) ? value : [value]
 }
 
-/** What an endpoint says of itself, for a log line; undefined where that is nothing. */
+/** Describes notices for a log line; undefined if there are none. */
 export function describeNotices ({ isDraining, backOffMs, limit, unreadable }: Notices): string | undefined {
   const parts = [
-    ...(isDraining ? ['it drains'] : []),
-    ...(backOffMs === undefined ? [] : [`it wants nothing for ${Math.round(backOffMs)} ms`]),
-    ...(limit?.perSecond === undefined ? [] : [`it takes ${limit.perSecond} requests a second from all boxes`]),
-    ...(unreadable === undefined ? [] : [`something that can not be understood: ${unreadable}`])
+    ...(isDraining ? ['draining'] : []),
+    ...(backOffMs === undefined ? [] : [`backoff of ${Math.round(backOffMs)} ms requested`]),
+    ...(limit?.perSecond === undefined ? [] : [`limit of ${limit.perSecond} requests per second from all boxes advertised`]),
+    ...(unreadable === undefined ? [] : [`invalid header values: ${unreadable}`])
   ]
   return parts.length === 0 ? undefined : parts.join(', ')
 }
--- a/endpoint/notices/test/notices.test.ts
+++ b/endpoint/notices/test/notices.test.ts
@@ -1,4 +1,3 @@
-/** What endpoints say of themselves, in the forms in which they say it. */
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import { MAX_BACKOFF_MS, readNotices, readRetryAfter } from '../src/index.ts'
@@ -9,10 +8,10 @@
   readNotices({ status, headers, drainingHeader: 'x-leaving', now: NOW })
 )
 
-describe('the time that is asked for', () => {
+describe('the time in Retry-After', () => {
   it.each([
     ['3', 3000], ['0', 0], ['0.25', 250], ['.5', 500], [' 7 ', 7000], ['3.', 3000], ['7200', 7_200_000], ['99999999999', MAX_BACKOFF_MS]
-  ])('is read from the seconds %j', (text, ms) => expect(read(text)).toBe(ms))
+  ])('is parsed from the seconds %j', (text, ms) => expect(read(text)).toBe(ms))
 
   it.each([
     ['Thu, 03 Dec 2026 10:00:04 GMT', 4000],
@@ -20,17 +19,17 @@
     ['Thu Dec  3 10:00:04 2026', 4000],
     ['Thu, 03 Dec 2026 09:00:00 GMT', 0],
     ['Fri, 03 Dec 2027 10:00:00 GMT', MAX_BACKOFF_MS]
-  ])('is read from the date %j', (text, ms) => expect(read(text)).toBe(ms))
+  ])('is parsed from the date %j', (text, ms) => expect(read(text)).toBe(ms))
 
-  it('goes by the clock of whoever wrote the date', () => {
+  it('is relative to the Date header of the response', () => {
     expect(read('Thu, 03 Dec 2026 09:00:05 GMT', 'Thu, 03 Dec 2026 09:00:00 GMT')).toBe(5000)
   })
 
   it.each(['', 'soon', '-1', '+3', '3s', '1e3', 'Infinity', 'NaN', '3,5', '0x10', 'Thu, no date 99:99:99 GMT', '2026-12-03T10:00:04Z'])(
-    'is not guessed from %j', (text) => expect(read(text)).toBeUndefined()
+    'is undefined for %j', (text) => expect(read(text)).toBeUndefined()
   )
 
-  it('is a bounded number of ms or nothing, whatever is written', () => {
+  it('is a bounded number of ms or undefined for any text', () => {
     const dates = fc.date({ noInvalidDate: true }).map((date) => date.toUTCString())
     fc.assert(fc.property(fc.oneof(fc.string(), fc.double().map(String), dates), (text) => {
       const ms = read(text)
@@ -39,46 +38,46 @@
   })
 })
 
-describe('the notices of an answer', () => {
-  it('tell of leaving with any status', () => {
+describe('the notices of a response', () => {
+  it('include draining for any status', () => {
     for (const status of [200, 206, 400, 421, 429, 500, 503]) expect(notices(status, { 'x-leaving': '1' }).isDraining, String(status)).toBe(true)
     expect(notices(200, {}).isDraining).toBe(false)
     expect(notices(200, { 'x-leaving': '0' }).isDraining).toBe(false)
     expect(notices(200, { 'x-leaving': ['0', '1'] }).isDraining).toBe(true)
   })
 
-  it('ask for a rest only where work is turned away', () => {
+  it('include a backoff only if the status is 429 or 503', () => {
     expect(notices(503, { 'retry-after': '3' }).backOffMs).toBe(3000)
     expect(notices(429, { 'retry-after': '3' }).backOffMs).toBe(3000)
     for (const status of [200, 301, 413, 500]) expect(notices(status, { 'retry-after': '3' }).backOffMs).toBeUndefined()
     expect(notices(503, {})).toEqual({ isDraining: false, backOffMs: undefined, limit: { perSecond: undefined } })
   })
 
-  it('take the longest of several values, and pass over what can not be understood', () => {
+  it('use the longest of several backoffs and ignore invalid values', () => {
     expect(notices(503, { 'retry-after': ['1', 'soon', '4'] }).backOffMs).toBe(4000)
     expect(notices(503, { 'retry-after': ['soon', 'later'] })).toEqual({ isDraining: false, backOffMs: undefined, limit: { perSecond: undefined }, unreadable: 'soon | later' })
   })
 })
 
-describe('the limit that an answer names', () => {
+describe('the advertised limit of a response', () => {
   const limitOf = (value: string | string[], status = 200) => notices(status, { 'x-gullwall-limit': value })
 
   it.each([['1', 1], ['0', 0], ['0.25', 0.25], ['.5', 0.5], ['12.', 12], [' 3 ', 3], ['100000000', 1e8]])('is a decimal number: %j', (text, perSecond) => {
     expect(limitOf(text).limit).toEqual({ perSecond })
   })
 
-  it('is the smallest of several values, whether they come in one line or in several', () => {
+  it('is the smallest of several values in one header line or in several', () => {
     expect(limitOf('5, 2').limit).toEqual({ perSecond: 2 })
     expect(limitOf(['5', '2', 'soon']).limit).toEqual({ perSecond: 2 })
   })
 
-  it.each(['-1', 'many', '', '1e3', '0x10', 'NaN', 'Infinity', '1 000', '9'.repeat(400)])('changes nothing where it can not be understood: %j', (text) => {
+  it.each(['-1', 'many', '', '1e3', '0x10', 'NaN', 'Infinity', '1 000', '9'.repeat(400)])('is unchanged by the invalid value %j', (text) => {
     const { limit, unreadable } = limitOf(text)
     expect(limit).toBeUndefined()
     expect(unreadable).toBe(text.slice(0, 60))
   })
 
-  it('is over in an answer that names none, but not in an interim one', () => {
+  it('is ended by a final response without a limit, but not by an interim response', () => {
     expect(notices(200, {}).limit).toEqual({ perSecond: undefined })
     expect(notices(503, {}).limit).toEqual({ perSecond: undefined })
     expect(notices(103, {}).limit).toBeUndefined()
--- a/endpoint/openai/src/engine.ts
+++ b/endpoint/openai/src/engine.ts
@@ -1,4 +1,4 @@
-/** A model engine. */
+/** An endpoint that runs a model engine with the chat completions API. */
 import { z } from 'zod'
 import { type AnswerReceiver, type Endpoint, type EndpointCall, type HeadListener, type ReportedLoad } from '@gullwall/endpoint.dialect'
 import { HttpEndpoint } from '@gullwall/endpoint.http'
@@ -10,7 +10,7 @@
 export class OpenAiEngine implements Endpoint {
   private readonly http: HttpEndpoint
 
-  /** @param onAnyHead told of each head that arrives */
+  /** @param onAnyHead listener for all response headers, including those of interim responses */
   constructor (name: string, address: string, onAnyHead?: HeadListener) {
     this.http = new HttpEndpoint(name, address, onAnyHead)
   }
--- a/endpoint/openai/src/index.ts
+++ b/endpoint/openai/src/index.ts
@@ -1,7 +1,6 @@
 /**
- * The dialect of model engines: the chat completions API with streaming by
- * server-sent events, `priority` in the body, and `continue_final_message` to
- * go on from the text so far.
+ * The dialect of model engines: the chat completions API with server-sent events, `priority` in the request body, and
+ * `continue_final_message` to continue from the text received so far.
  */
 export * from './engine.ts'
 export * from './request-body.ts'
--- a/endpoint/openai/src/request-body.ts
+++ b/endpoint/openai/src/request-body.ts
@@ -1,7 +1,7 @@
-/** The request body of a chat completion: its check, and what is added for the engine. */
+/** The request body of a chat completion: its validation, and its changes for the engine. */
 import { z } from 'zod'
 
-/** Only what the system itself reads is checked; the engine checks the rest. */
+/** Validates only the properties that Gullwall itself uses; the engine validates the others. */
 export const chatRequestSchema = z.looseObject({
   model: z.string().min(1),
   messages: z.array(z.looseObject({ role: z.string() })).min(1),
@@ -12,23 +12,23 @@
 
 export type ChatRequest = z.infer<typeof chatRequestSchema>
 
-/** What was answered before a stream broke off. */
+/** The part of a completion that was received before its stream was interrupted. */
 export interface PartialAnswer {
   text: string
-  /** Events with content, one token each. */
+  /** The number of events with content, which have one token each. */
   tokens: number
 }
 
 /**
- * Adds the priority to a JSON body without writing it anew. The last of two
- * equal keys counts, so a caller can't set its own.
+ * Adds the priority to a JSON body without parsing the body. The last of several equal keys takes effect, so that callers can't
+ * set their own priority.
  */
 export function withPriority (body: Buffer, priority: number): Buffer {
   const brace = body.lastIndexOf('}')
   return Buffer.concat([body.subarray(0, brace), Buffer.from(`,"priority":${priority}}`)])
 }
 
-/** Gives the body that goes on after a partial answer. */
+/** Creates the body of a request that continues a partial completion. Token limits are reduced by the tokens received so far. */
 export function resumedBody (body: Buffer, partial: PartialAnswer): Buffer {
   const request = JSON.parse(body.toString('utf8')) as ChatRequest
   const resumed: Record<string, unknown> = {
@@ -44,8 +44,8 @@
   return Buffer.from(JSON.stringify(resumed))
 }
 
-/** Whether an answer can be resumed from its text alone. */
+/** Whether the completion of a request can be resumed from its text alone. */
 export function isResumable (request: ChatRequest): boolean {
-  const single = request['n'] === undefined || request['n'] === null || request['n'] === 1
-  return request.stream === true && single && request['logprobs'] !== true && request['tools'] === undefined
+  const hasOneChoice = request['n'] === undefined || request['n'] === null || request['n'] === 1
+  return request.stream === true && hasOneChoice && request['logprobs'] !== true && request['tools'] === undefined
 }
--- a/endpoint/openai/src/sse.ts
+++ b/endpoint/openai/src/sse.ts
@@ -1,6 +1,6 @@
 /**
- * Server-sent events of a chat completion, passed on without being parsed. Only
- * whole events go on to the caller, so a broken stream never shows half of one.
+ * Server-sent events of a chat completion, which are forwarded without being parsed. Only complete events are forwarded, so that
+ * callers never receive part of an event from an interrupted stream.
  */
 import { type IncomingHttpHeaders } from 'node:http'
 import { createParser } from 'eventsource-parser'
@@ -11,30 +11,31 @@
 const DONE_EVENT = Buffer.from('data: [DONE]\n\n')
 const END_COMMENT = ': gullwall-end '
 
-/** Whether an answer comes as events, by its headers. */
+/** Whether a response is a stream of server-sent events. */
 export function isEventStream (headers: IncomingHttpHeaders): boolean {
   return String(headers['content-type'] ?? '').startsWith('text/event-stream')
 }
 
-/** Why a sidecar ended a stream before its answer was whole. */
+/** The reason for which a sidecar ended a stream before it was complete. */
 export type EndReason = 'preempted' | 'engine-failed' | 'stalled'
 
 const END_REASONS: readonly EndReason[] = ['preempted', 'engine-failed', 'stalled']
 
-/** The last event of a stream that a sidecar ends early: a comment, which callers' parsers pass over. */
+/** Formats the last event of a stream that a sidecar ends early: a comment, which the parsers of callers ignore. */
 export function endComment (reason: EndReason): string {
   return `${END_COMMENT}${reason}\n\n`
 }
 
-/** Splits a stream at the ends of events. */
+/** Forwards a stream in complete events and removes the sidecar's end comment. */
 export class EventRelay {
-  /** The stream's last event was `[DONE]`. */
+  /** Whether the last event of the stream was `[DONE]`. */
   done = false
-  /** Why the sidecar ended the stream, if it did. */
+  /** The reason from the sidecar's end comment; undefined if there was none. */
   endReason: EndReason | undefined
+  /** The beginning of an event that is not yet complete. */
   private tail: Buffer | undefined
 
-  /** Takes bytes and gives those that end with a whole event, or undefined. */
+  /** Adds a chunk and returns the bytes up to the last complete event, or undefined if there are none. */
   push (chunk: Buffer): Buffer | undefined {
     const bytes = this.tail === undefined ? chunk : Buffer.concat([this.tail, chunk])
     const end = bytes.lastIndexOf(EVENT_END)
@@ -42,14 +43,14 @@
       this.tail = bytes
       return undefined
     }
-    const cut = end + EVENT_END.length
-    this.tail = cut < bytes.length ? bytes.subarray(cut) : undefined
-    return this.withoutEndComment(bytes.subarray(0, cut))
+    const tailStart = end + EVENT_END.length
+    this.tail = tailStart < bytes.length ? bytes.subarray(tailStart) : undefined
+    return this.removeEndComment(bytes.subarray(0, tailStart))
   }
 
-  private withoutEndComment (events: Buffer): Buffer | undefined {
+  private removeEndComment (events: Buffer): Buffer | undefined {
     if (endsWith(events, DONE_EVENT)) this.done = true
-    const lastStart = startOfLastEvent(events)
+    const lastStart = findStartOfLastEvent(events)
     const last = events.subarray(lastStart)
     if (last[0] !== END_COMMENT.charCodeAt(0)) return events
     const text = last.toString('utf8')
@@ -68,37 +69,40 @@
   })).default([])
 })
 
-/** What has been answered so far, read from the raw events when a stream must be resumed. */
+/** The completion received so far, parsed from the events when a stream is resumed. */
 export interface AnswerSoFar extends PartialAnswer {
   id: string | undefined
+  /** Unix time in seconds, as sent by the engine. */
   created: number | undefined
+  /** Whether the completion has a finish reason, so that only `[DONE]` may be missing. */
   finished: boolean
 }
 
+/** Parses the completion received so far from the chunks of a stream. */
 export function readAnswer (chunks: readonly Buffer[]): AnswerSoFar {
-  const answer: AnswerSoFar = { text: '', tokens: 0, id: undefined, created: undefined, finished: false }
+  const completion: AnswerSoFar = { text: '', tokens: 0, id: undefined, created: undefined, finished: false }
   forEachChunk(Buffer.concat(chunks).toString('utf8'), (chunk) => {
-    answer.id ??= chunk.id
-    answer.created ??= chunk.created
+    completion.id ??= chunk.id
+    completion.created ??= chunk.created
     const choice = chunk.choices[0]
     const content = choice?.delta?.content ?? ''
-    if (content !== '') answer.tokens += 1
-    answer.text += content
-    if (typeof choice?.finish_reason === 'string') answer.finished = true
+    if (content !== '') completion.tokens += 1
+    completion.text += content
+    if (typeof choice?.finish_reason === 'string') completion.finished = true
   })
-  return answer
+  return completion
 }
 
 /**
- * Rewrites events of a resumed stream to read as one answer with what came
- * before: the first answer's id, and no second opening role.
+ * Rewrites the events of a resumed stream so that they continue the completion `before`: with the same id and creation time, and
+ * without a second event that only contains the role.
  */
 export function rewriteResumed (events: Buffer, before: AnswerSoFar): Buffer {
-  let out = ''
+  let rewritten = ''
   const parser = createParser({
     onEvent: ({ data }) => {
       if (data === '[DONE]') {
-        out += 'data: [DONE]\n\n'
+        rewritten += 'data: [DONE]\n\n'
         return
       }
       const parsed = chunkSchema.safeParse(JSON.parse(data))
@@ -106,12 +110,12 @@
       const chunk = { ...parsed.data, id: before.id, created: before.created }
       const delta = chunk.choices[0]?.delta
       if (delta !== undefined) delete delta.role
-      const opensOnly = delta !== undefined && (delta.content ?? '') === '' && typeof chunk.choices[0]?.finish_reason !== 'string'
-      if (!opensOnly) out += `data: ${JSON.stringify(chunk)}\n\n`
+      const isRoleOnly = delta !== undefined && (delta.content ?? '') === '' && typeof chunk.choices[0]?.finish_reason !== 'string'
+      if (!isRoleOnly) rewritten += `data: ${JSON.stringify(chunk)}\n\n`
     }
   })
   parser.feed(events.toString('utf8'))
-  return Buffer.from(out)
+  return Buffer.from(rewritten)
 }
 
 function forEachChunk (text: string, visit: (chunk: z.infer<typeof chunkSchema>) => void): void {
@@ -129,7 +133,7 @@
   return bytes.length >= suffix.length && bytes.subarray(bytes.length - suffix.length).equals(suffix)
 }
 
-function startOfLastEvent (events: Buffer): number {
+function findStartOfLastEvent (events: Buffer): number {
   const before = events.lastIndexOf(EVENT_END, events.length - EVENT_END.length - 1)
   return before < 0 ? 0 : before + EVENT_END.length
 }
