--- a/endpoint/crashes/src/crash-reporter.ts
+++ b/endpoint/crashes/src/crash-reporter.ts
@@ -8,7 +8,7 @@
 const REPORT_DELAY_MS = 20
 /** The delay before a failed report is repeated, in ms. */
 const RETRY_DELAY_MS = 300
-/** The number of crashes in one report. */
+/** The maximum number of crashes in one report. */
 const MAX_CRASHES_PER_REPORT = 16
 /** The number of unreported crashes that are kept; the oldest is dropped. */
 const MAX_UNREPORTED = 128
@@ -34,6 +34,7 @@
   private readonly watched = new Set<string>()
   /** The time from which reports are pending; undefined if none are. */
   private pendingSince: number | undefined
+  /** The requests that this process alone would quarantine; undefined until they are computed. */
   private localDecision: ReadonlySet<string> | undefined
   private isReporting = false
   private isStopped = false
@@ -71,7 +72,10 @@
     this.scheduleNewReport()
   }
 
-  /** The requests to quarantine by this process's own crashes. Empty while reports reach control, which knows of more crashes. */
+  /**
+   * The requests to quarantine on the evidence of this process alone. The set is empty while reports reach control, which has the
+   * evidence of all processes.
+   */
   get heldWithoutControl (): ReadonlySet<string> {
     const isIsolated = this.pendingSince !== undefined && this.now() - this.pendingSince > ISOLATION_MS
     if (!isIsolated) return NONE
--- a/endpoint/crashes/src/crash-watch.ts
+++ b/endpoint/crashes/src/crash-watch.ts
@@ -34,11 +34,11 @@
   now?: () => number
 }
 
-/** The time in which a crash is looked for after a connection closed, in ms: a restarted engine sends heartbeats within two intervals. */
+/** The time after a closed connection in which a crash can be detected, in ms. A restarted engine sends a heartbeat within it. */
 const DETECTION_MS = 3000
 /** The time after a crash in which further closed connections count towards it, in ms: a box that was suspended notices them late. */
 const CRASH_RETENTION_MS = 10_000
-/** An endpoint silent for longer than this lost power or its network, in ms; its connections are reset when the box is back. */
+/** An endpoint silent for longer than this lost power or its network, in ms. Its connections are reset when the box is back. */
 const MAX_SILENT_MS = 4000
 const CHECK_INTERVAL_MS = 100
 /** The number of requests kept for one endpoint, as in control. */
@@ -107,7 +107,7 @@
     this.options.onCrash(incarnation, [...known.requests])
   }
 
-  /** Detects crashes by their new incarnations, and drops endpoints that are no longer watched. It is called periodically. */
+  /** Detects crashes of endpoints that have a new incarnation, and stops watching old ones. It is called periodically. */
   look (): void {
     const now = this.now()
     for (const [incarnation, { since, hasCrashed }] of this.watched) {
--- a/routing/backoff/src/backoff.ts
+++ b/routing/backoff/src/backoff.ts
@@ -8,7 +8,7 @@
 const INITIAL_WINDOW = 1
 /** At this window the slow start ends: the endpoint has accepted 1, 2, 4 and 8 concurrent requests. */
 const FINAL_WINDOW = 16
-/** The slow start ends if no request is pending this long after the backoff, in ms: no queued requests are left by then. */
+/** The slow start also ends if no request is pending this long after the backoff, in ms: queued requests are gone by then. */
 export const IDLE_MS = 10_000
 
 /** Permission to send one request to an endpoint. */
--- a/routing/dispatcher/src/demand-sender.ts
+++ b/routing/dispatcher/src/demand-sender.ts
@@ -13,7 +13,10 @@
 
 /** The minimum time between two summaries, in ms. */
 const MIN_INTERVAL_MS = 5
-/** The relative change of a count that is not sent. With a larger one slots stay idle for a round trip and are then filled in bursts. */
+/**
+ * The largest relative change of a count that is not sent. A larger tolerance would leave slots idle for a round trip and then
+ * fill them in bursts that disturb running streams.
+ */
 const COUNT_TOLERANCE = 0.25
 
 export class DemandSender {
--- a/routing/dispatcher/src/dispatcher.ts
+++ b/routing/dispatcher/src/dispatcher.ts
@@ -141,14 +141,14 @@
   }
 
   /** Ends a grant. It must be called exactly once for each grant, when the attempt has ended. */
-  finished (grant: Grant, inTime: boolean): void {
+  finished (grant: Grant, hasSucceeded: boolean): void {
     const view = this.directory.get(grant.endpoint)
     if (view?.sidecar === grant.sidecar) {
       view.outstanding -= 1
       view.probing = false
       if (!this.bindsEarly && view.load.spare < view.load.limit) view.load.spare += 1
     }
-    if (inTime) this.health.noteSuccess(grant.endpoint)
+    if (hasSucceeded) this.health.noteSuccess(grant.endpoint)
     else this.health.noteProbeFailure(grant.endpoint)
     const { request } = grant
     const correction = this.costs.settle(request.class, performance.now() - grant.grantedAt)
--- a/routing/health/src/index.ts
+++ b/routing/health/src/index.ts
@@ -27,7 +27,7 @@
   why: string
 }
 
-interface Entry {
+interface EndpointHealth {
   state: HealthState
   ejections: number
   /** The end of the ejection. */
@@ -51,10 +51,10 @@
 
 /** Tracks the health of endpoints. Times are in ms of the monotonic clock. */
 export class HealthMonitor {
-  private readonly entries = new Map<string, Entry>()
+  private readonly healthByEndpoint = new Map<string, EndpointHealth>()
 
   state (endpoint: string): HealthState {
-    return this.entries.get(endpoint)?.state ?? 'healthy'
+    return this.healthByEndpoint.get(endpoint)?.state ?? 'healthy'
   }
 
   /** Records that a stream of this process stalled, which load reports do not show. */
@@ -64,16 +64,16 @@
 
   /** Records a successful request. It resets stalls and counts as a successful probe while the endpoint is probed. */
   noteSuccess (endpoint: string): void {
-    const entry = this.entries.get(endpoint)
-    if (entry === undefined) return
-    entry.stalls = 0
-    if (entry.state === 'probing') entry.probeSuccesses += 1
+    const health = this.healthByEndpoint.get(endpoint)
+    if (health === undefined) return
+    health.stalls = 0
+    if (health.state === 'probing') health.probeSuccesses += 1
   }
 
   /** Records a failed request. While the endpoint is probed, this ejects it again. */
   noteProbeFailure (endpoint: string, now = performance.now()): void {
-    const entry = this.entries.get(endpoint)
-    if (entry?.state === 'probing') eject(entry, now)
+    const health = this.healthByEndpoint.get(endpoint)
+    if (health?.state === 'probing') eject(health, now)
   }
 
   /** Compares every endpoint with its peers and returns the changes of state. */
@@ -91,37 +91,37 @@
 
   /** Drops the state of an endpoint. */
   forget (endpoint: string): void {
-    this.entries.delete(endpoint)
+    this.healthByEndpoint.delete(endpoint)
   }
 
   private evaluateOne (sample: EndpointSample, peers: readonly EndpointSample[], medians: Medians, now: number): HealthChange | undefined {
-    const entry = this.getOrCreate(sample.name)
-    if (entry.state === 'ejected') return this.probeWhenDue(sample.name, entry, now)
-    const unhealthyReason = findUnhealthyReason(sample, entry, medians, peers.length)
-    if (entry.state === 'probing') return this.endProbe(sample.name, entry, unhealthyReason, now)
+    const health = this.getOrCreate(sample.name)
+    if (health.state === 'ejected') return this.startProbeIfDue(sample.name, health, now)
+    const unhealthyReason = findUnhealthyReason(sample, health, medians, peers.length)
+    if (health.state === 'probing') return this.endProbe(sample.name, health, unhealthyReason, now)
     if (unhealthyReason === undefined || !this.canEject(peers)) return undefined
-    eject(entry, now)
+    eject(health, now)
     return { endpoint: sample.name, state: 'ejected', why: unhealthyReason }
   }
 
-  private probeWhenDue (endpoint: string, entry: Entry, now: number): HealthChange | undefined {
-    if (now < entry.ejectedUntil) return undefined
-    entry.state = 'probing'
-    entry.probeSuccesses = 0
-    return { endpoint, state: 'probing', why: `ejected ${entry.ejections} times` }
+  private startProbeIfDue (endpoint: string, health: EndpointHealth, now: number): HealthChange | undefined {
+    if (now < health.ejectedUntil) return undefined
+    health.state = 'probing'
+    health.probeSuccesses = 0
+    return { endpoint, state: 'probing', why: `ejected ${health.ejections} times` }
   }
 
   /** Readmits an endpoint after its probes, or ejects it again if it is still unhealthy, even if all probes succeeded. */
-  private endProbe (endpoint: string, entry: Entry, unhealthyReason: string | undefined, now: number): HealthChange | undefined {
-    if (now < entry.ejectedUntil + MIN_PROBE_MS) return undefined
+  private endProbe (endpoint: string, health: EndpointHealth, unhealthyReason: string | undefined, now: number): HealthChange | undefined {
+    if (now < health.ejectedUntil + MIN_PROBE_MS) return undefined
     if (unhealthyReason !== undefined) {
-      eject(entry, now)
+      eject(health, now)
       return { endpoint, state: 'ejected', why: unhealthyReason }
     }
-    if (entry.probeSuccesses < MIN_PROBE_SUCCESSES) return undefined
-    entry.state = 'healthy'
-    entry.stalls = 0
-    return { endpoint, state: 'healthy', why: `${entry.probeSuccesses} probes succeeded` }
+    if (health.probeSuccesses < MIN_PROBE_SUCCESSES) return undefined
+    health.state = 'healthy'
+    health.stalls = 0
+    return { endpoint, state: 'healthy', why: `${health.probeSuccesses} probes succeeded` }
   }
 
   private canEject (peers: readonly EndpointSample[]): boolean {
@@ -129,13 +129,13 @@
     return peers.length > 1 && ejected + 1 <= Math.max(1, Math.floor(peers.length * MAX_EJECTED_SHARE))
   }
 
-  private getOrCreate (endpoint: string): Entry {
-    let entry = this.entries.get(endpoint)
-    if (entry === undefined) {
-      entry = { state: 'healthy', ejections: 0, ejectedUntil: 0, probeSuccesses: 0, stalls: 0 }
-      this.entries.set(endpoint, entry)
+  private getOrCreate (endpoint: string): EndpointHealth {
+    let health = this.healthByEndpoint.get(endpoint)
+    if (health === undefined) {
+      health = { state: 'healthy', ejections: 0, ejectedUntil: 0, probeSuccesses: 0, stalls: 0 }
+      this.healthByEndpoint.set(endpoint, health)
     }
-    return entry
+    return health
   }
 }
 
@@ -144,15 +144,15 @@
   firstTokenMs: number
 }
 
-function eject (entry: Entry, now: number): void {
-  entry.state = 'ejected'
-  entry.ejectedUntil = now + Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** entry.ejections)
-  entry.ejections += 1
-  entry.stalls = 0
+function eject (health: EndpointHealth, now: number): void {
+  health.state = 'ejected'
+  health.ejectedUntil = now + Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** health.ejections)
+  health.ejections += 1
+  health.stalls = 0
 }
 
-function findUnhealthyReason (sample: EndpointSample, entry: Entry, medians: Medians, peerCount: number): string | undefined {
-  if (entry.stalls > 0) return 'a stream stalled'
+function findUnhealthyReason (sample: EndpointSample, health: EndpointHealth, medians: Medians, peerCount: number): string | undefined {
+  if (health.stalls > 0) return 'a stream stalled'
   if (sample.failuresInRow >= MAX_FAILURES_IN_ROW) return `${sample.failuresInRow} consecutive failures`
   if (peerCount < MIN_PEERS) return undefined
   if (isOutlier(sample.tokenGapMs, medians.tokenGapMs)) {
--- a/routing/rates/src/rate-bound.ts
+++ b/routing/rates/src/rate-bound.ts
@@ -15,19 +15,19 @@
   return Math.min(requests, Math.ceil(requests / parts) + extra)
 }
 
-/** The window over which an advertised limit is kept, in ms. It is longer only if the limit is below one request per window. */
+/** The window in which an advertised limit applies, in ms. It is longer only if the limit is below one request per window. */
 export const LIMIT_WINDOW_MS = 4000
 /**
  * The lowest rate that is applied, in requests per second. An endpoint that advertises less still receives this many requests,
  * since only a response can lift its limit.
  */
 export const LEAST_PER_SECOND = 0.1
-/** Limits above this rate, in requests per second, are ignored: no single endpoint receives more requests. */
+/** Limits above this rate, in requests per second, are ignored: no single endpoint receives that many requests. */
 export const MOST_COUNTED_PER_SECOND = 10_000
 
 const MS_PER_SECOND = 1000
-const LIMIT_PARTS = 4
-const LIMIT_EXTRA = 1
+const LIMIT_SEGMENTS = 4
+const LIMIT_EXTRA_PER_SEGMENT = 1
 
 /**
  * Creates the bound for a limit in requests per second. The requests per window are rounded up, and the window is lengthened to
@@ -38,5 +38,5 @@
   if (perSecond > MOST_COUNTED_PER_SECOND) return undefined
   const rate = Math.max(perSecond, LEAST_PER_SECOND)
   const requests = Math.ceil(rate * LIMIT_WINDOW_MS / MS_PER_SECOND)
-  return { requests, windowMs: requests / rate * MS_PER_SECOND, parts: LIMIT_PARTS, extra: LIMIT_EXTRA }
+  return { requests, windowMs: requests / rate * MS_PER_SECOND, parts: LIMIT_SEGMENTS, extra: LIMIT_EXTRA_PER_SEGMENT }
 }
