--- a/bench/experiment/src/choice.ts
+++ b/bench/experiment/src/choice.ts
@@ -5,7 +5,7 @@
 import { RouteTable, type Route } from '@gullwall/config.document'
 import { type GatewaySettings } from '@gullwall/config.settings'
 import { AttemptHistory, chooseEndpoint, createGateway, WorkExchange, type Call, type GatewayServices } from '@gullwall/entry.gateway'
-import { DEFAULT_WEIGHTS, type EndpointState, type PromptPart, type Work } from '@gullwall/routing.balancer'
+import { DEFAULT_WEIGHTS, type EndpointState, type PromptPart, type SentPrompt, type Work } from '@gullwall/routing.balancer'
 import { type WorkSummary } from '@gullwall/transport.messages'
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
@@ -128,7 +128,7 @@
     const { endpoint, unreadTokens, urgency } = candidate
     this.unreadTokens += unreadTokens
     const { prompt } = call
-    const sent = { prompt, unreadTokens, urgency, strain: 0.1, isSensitive: false, outputTokens: OUTPUT_TOKENS }
+    const sent: SentPrompt = { prompt, unreadTokens, urgency, strain: 0.1, isSensitive: false, outputTokens: OUTPUT_TOKENS }
     const work = endpoint.begin(sent, performance.now())
     this.underWay.push({ endpoint, work })
     const oldest = this.underWay.length > UNDER_WAY ? this.underWay.shift() : undefined
--- a/entry/gateway/src/endpoint-choice.ts
+++ b/entry/gateway/src/endpoint-choice.ts
@@ -45,7 +45,7 @@
     reserved: view.reserved.of(service)
   }
   const { endpoints, homes, sources } = candidateSet(demand, choosable(services, call, service))
-  const whole = { ...demand, homes, sources: engine?.copiesPrefixes === true ? sources : [] }
+  const whole: Demand = { ...demand, homes, sources: engine?.copiesPrefixes === true ? sources : [] }
   const preferred = services.coldEngines.preferred(endpoints, call)
   const candidate = choose(whole, preferred, now, weights)
   return candidate ?? (preferred.length < endpoints.length ? choose(whole, endpoints, now, weights) : undefined)
--- a/entry/gateway/src/forward.ts
+++ b/entry/gateway/src/forward.ts
@@ -1,5 +1,5 @@
 /** Carries one request: chooses endpoints, sends attempts one after the other, and ends the caller's answer. */
-import { strainOf, type Candidate, type Work } from '@gullwall/routing.balancer'
+import { strainOf, type Candidate, type SentPrompt, type Work } from '@gullwall/routing.balancer'
 import { type CallerAnswer, type ErrorAnswer } from './answer.ts'
 import { AnswerReceiver, hasRun, verdictOf, type AttemptEnd } from './answer-receiver.ts'
 import { AttemptHistory } from './attempt-history.ts'
@@ -148,7 +148,7 @@
     this.resumedAt = undefined
     this.waitsUntil = -Infinity
     services.workExchange.noteSending(endpoint, call.prompt)
-    const sent = {
+    const sent: SentPrompt = {
       prompt: call.prompt,
       unreadTokens,
       urgency,
--- a/entry/gateway/test/attempt-policy.test.ts
+++ b/entry/gateway/test/attempt-policy.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { EndpointState, RetryBudget, type Candidate } from '@gullwall/routing.balancer'
+import { EndpointState, RetryBudget, type Candidate, type Work } from '@gullwall/routing.balancer'
 import { type AttemptEnd } from '../src/answer-receiver.ts'
 import { AttemptHistory } from '../src/attempt-history.ts'
 import { admit, nextStep, silenceOf, type RequestState } from '../src/attempt-policy.ts'
@@ -132,7 +132,7 @@
 })
 
 describe('an endpoint that says nothing', () => {
-  const work = {
+  const work: Work = {
     startedAt: 0, unreadTokens: 0, urgency: 0, promptTokens: 0, strain: 0, isSensitive: false, aheadTokens: 0, hasBegun: true, eventAt: 0
   }
   const running = (state: RequestState, hasAlternative = true) => ({
--- a/routing/balancer/src/choose.ts
+++ b/routing/balancer/src/choose.ts
@@ -167,7 +167,7 @@
   const sourceNear = perRegion(demand, sources, (group) => bestSource(prompt, group, now))
   const shared = sharedTokens(prompt)
   const total = tokensOf(prompt)
-  return holdings.filter(({ endpoint }) => mayHave(demand, endpoint)).map(({ endpoint, tokens }) => {
+  return holdings.filter(({ endpoint }) => mayHave(demand, endpoint)).map(({ endpoint, tokens }): Candidate => {
     const isHome = endpoint === homeNear(endpoint)
     const best = sourceNear(endpoint)
     const kept = Math.max(tokens, isHome && trustsHome ? shared : 0)
