--- a/bench/deployment/src/deployment.ts
+++ b/bench/deployment/src/deployment.ts
@@ -88,7 +88,7 @@
 
   /** Has changes of records accepted, as an operator would. */
   async apply (changes: RecordChange[]): Promise<number> {
-    const result = await this.leader().get('proposer').apply({
+    const result = await this.leader().get('proposer').applyOperation({
       type: 'apply', operationId: newStartId(), expectedRevision: null, changes, operator: 'deployment', at: new Date().toISOString()
     })
     if (result.type !== 'accepted') throw new Error(JSON.stringify(result))
--- a/bench/experiment/src/choice.ts
+++ b/bench/experiment/src/choice.ts
@@ -4,9 +4,9 @@
  */
 import { RouteTable, type Route } from '@gullwall/config.document'
 import { type GatewaySettings } from '@gullwall/config.settings'
-import { AttemptHistory, chooseEndpoint, createGateway, WorkExchange, type Call, type GatewayServices } from '@gullwall/entry.gateway'
-import { DEFAULT_WEIGHTS, type EndpointState, type PromptPart, type SentPrompt, type Work } from '@gullwall/routing.balancer'
-import { type WorkSummary } from '@gullwall/transport.messages'
+import { AttemptHistory, chooseEndpoint, createGateway, LoadExchange, type Call, type GatewayServices } from '@gullwall/entry.gateway'
+import { DEFAULT_WEIGHTS, type EndpointState, type PromptPart, type SentPrompt, type InFlightRequest } from '@gullwall/routing.balancer'
+import { type LoadSummary } from '@gullwall/transport.messages'
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 
@@ -64,9 +64,9 @@
   private readonly looks: number[] = []
   private unreadTokens = 0
   private readonly services: GatewayServices
-  private readonly exchange: WorkExchange
+  private readonly exchange: LoadExchange
   private readonly random: () => number
-  private readonly underWay: Array<{ endpoint: EndpointState, work: Work }> = []
+  private readonly underWay: Array<{ endpoint: EndpointState, work: InFlightRequest }> = []
   private requests = 0
 
   constructor (private readonly size: number, seed: number) {
@@ -74,14 +74,14 @@
     this.random = () => uniformFloat64(generator)
     const gateway = createGateway(settings(), { write: () => {} })
     const view = gateway.get('view')
-    const controlLinks = { tellWork: () => true }
+    const controlLinks = { reportLoad: () => true }
     this.services = {
       view,
       eligibility: gateway.get('eligibility'),
-      outputs: gateway.get('outputs'),
-      crossings: gateway.get('crossings'),
-      coldEngines: gateway.get('coldEngines'),
-      evacuatedPlaces: gateway.get('evacuatedPlaces'),
+      outputEstimate: gateway.get('outputEstimate'),
+      crossRegionTraffic: gateway.get('crossRegionTraffic'),
+      coldEndpoints: gateway.get('coldEndpoints'),
+      evacuatedDataCentres: gateway.get('evacuatedDataCentres'),
       settings: settings(),
       weights: DEFAULT_WEIGHTS,
       startedAt: -Infinity,
@@ -98,7 +98,7 @@
       sequence: 1,
       ageMs: 0
     })))
-    this.exchange = new WorkExchange(this.services)
+    this.exchange = new LoadExchange(this.services)
     this.exchange.receive({
       kind: 'workSums', whole: true, peers: 1, works: view.usable(SERVICE).map((endpoint) => this.loadOf(endpoint)), holdings: []
     })
@@ -128,7 +128,7 @@
     const { endpoint, unreadTokens, urgency } = candidate
     this.unreadTokens += unreadTokens
     const { prompt } = call
-    const sent: SentPrompt = { prompt, unreadTokens, urgency, strain: 0.1, isSensitive: false, outputTokens: OUTPUT_TOKENS }
+    const sent: SentPrompt = { prompt, unreadTokens, urgency, pauseSensitivity: 0.1, isPauseSensitive: false, outputTokens: OUTPUT_TOKENS }
     const work = endpoint.begin(sent, performance.now())
     this.underWay.push({ endpoint, work })
     const oldest = this.underWay.length > UNDER_WAY ? this.underWay.shift() : undefined
@@ -140,7 +140,7 @@
   }
 
   /** What others have under way there. */
-  private loadOf ({ description: { incarnation } }: EndpointState): WorkSummary {
+  private loadOf ({ description: { incarnation } }: EndpointState): LoadSummary {
     return {
       incarnation,
       unread: [{ urgency: 3, tokens: Math.round(6000 * this.random()) }],
@@ -153,7 +153,7 @@
   }
 
   private keep (endpoint: EndpointState): void {
-    for (let kept = 0; kept < KEPT; kept += 1) endpoint.prefixes.note([this.subject()], 0)
+    for (let kept = 0; kept < KEPT; kept += 1) endpoint.prefixCache.record([this.subject()], 0)
   }
 
   /** Three subjects for an endpoint, so that each is kept by two of them. */
@@ -169,7 +169,7 @@
       waitMs: undefined,
       lastEventId: undefined,
       key: undefined,
-      output: { hint: OUTPUT_TOKENS },
+      output: { expectedTokens: OUTPUT_TOKENS },
       prompt: [this.subject(), { id: `own-${this.requests}`, tokens: OWN_TOKENS }],
       method: 'POST',
       path: '/',
@@ -182,7 +182,7 @@
       arrivedAt,
       deadline: arrivedAt + ROUTE.timeoutMs,
       documentVersion: 1,
-      sleptMs: 0,
+      suspendedMs: 0,
       fingerprint: () => ''
     }
   }
--- a/bench/soak/src/mutations.ts
+++ b/bench/soak/src/mutations.ts
@@ -22,7 +22,7 @@
   {
     name: 'broken-taken-for-whole',
     check: 'whole',
-    file: `${GATEWAY}/answer-receiver.ts`,
+    file: `${GATEWAY}/attempt-response-receiver.ts`,
     find: "if (end.type === 'broken' || head === undefined)",
     replace: 'if (head === undefined)',
     faults: ['engine cuts answers']
@@ -30,18 +30,18 @@
   {
     name: 'answer-of-another',
     check: 'whole',
-    file: `${GATEWAY}/answer-receiver.ts`,
-    find: 'answer.whole(head.status, head.headers, Buffer.concat(this.chunks))',
+    file: `${GATEWAY}/attempt-response-receiver.ts`,
+    find: 'answer.sendComplete(head.status, head.headers, Buffer.concat(this.chunks))',
     replace: `const before = (globalThis as any).lastAnswer ?? head.headers
       ;(globalThis as any).lastAnswer = head.headers
-      answer.whole(head.status, Math.random() < 0.05 ? before : head.headers, Buffer.concat(this.chunks))`,
+      answer.sendComplete(head.status, Math.random() < 0.05 ? before : head.headers, Buffer.concat(this.chunks))`,
     faults: [CALM]
   },
   {
     name: 'rest-not-heard',
     check: 'rest',
     file: `${GATEWAY}/endpoint-notices.ts`,
-    find: 'this.backoffs.note(incarnation, notices.backOffMs ?? 0)',
+    find: 'this.backoffs.recordBackoff(incarnation, notices.backoffMs ?? 0)',
     replace: '',
     faults: ['all engines ask for rest', 'burst']
   },
@@ -49,7 +49,7 @@
     name: 'limit-not-heard',
     check: 'limit',
     file: `${GATEWAY}/endpoint-notices.ts`,
-    find: 'if (!view.leases.noteLimit(incarnation, word)) return',
+    find: 'if (!view.leases.recordLimit(incarnation, word)) return',
     replace: 'return',
     faults: ['engine names a limit', 'burst']
   },
@@ -80,7 +80,7 @@
   {
     name: 'refused-after-run',
     check: 'not-run',
-    file: `${GATEWAY}/forward.ts`,
+    file: `${GATEWAY}/request-forwarder.ts`,
     find: "this.end({ status, code, message: why, ran: this.answer.hasBegun ? 'partly' : 'unknown' }, 'fail')",
     replace: "this.end({ status: 503, code, message: why, ran: 'no' }, 'fail')",
     faults: ['engine cuts answers', 'engine crashes']
@@ -89,8 +89,8 @@
     name: 'callers-order-engines',
     check: 'outside',
     file: `${GATEWAY}/native-dialect.ts`,
-    find: "dropped: new Set([WAIT, ORGANISATION, URGENCY, INCARNATION, LAST_EVENT, PREFIX_SOURCE, 'authorization'])",
-    replace: "dropped: new Set([WAIT, ORGANISATION, INCARNATION, LAST_EVENT, 'authorization'])",
+    find: "neverForwarded: new Set([WAIT, ORGANISATION, URGENCY, INCARNATION, LAST_EVENT, PREFIX_SOURCE, 'authorization'])",
+    replace: "neverForwarded: new Set([WAIT, ORGANISATION, INCARNATION, LAST_EVENT, 'authorization'])",
     faults: [CALM]
   },
   {
@@ -139,9 +139,9 @@
     name: 'acknowledged-before-accepted',
     check: 'config',
     file: 'control/program/src/documents.ts',
-    find: 'return Right(await this.services.proposer.document(',
+    find: 'return Right(await this.services.proposer.proposeDocument(',
     replace: `if (version > 10 && version % 2 === 0) return Right({ taken: true, version })
-    return Right(await this.services.proposer.document(`,
+    return Right(await this.services.proposer.proposeDocument(`,
     faults: [CALM]
   },
   {
@@ -155,7 +155,7 @@
   {
     name: 'crashing-sent-on',
     check: 'crashing',
-    file: 'control/program/src/crash-judge.ts',
+    file: 'control/program/src/crash-evaluator.ts',
     find: 'if (now - this.unjudgedSince < SETTLE_MS) return',
     replace: 'if (now - this.unjudgedSince < 1e9) return',
     faults: ['request crashes engines']
@@ -181,7 +181,7 @@
     check: 'starve',
     file: `${GATEWAY}/attempt-policy.ts`,
     find: 'const isBound = history.mayHaveRun',
-    replace: "if (tier === 2) return { type: 'refuse', why: 'starved', afterMs: 0 }\n  const isBound = history.mayHaveRun",
+    replace: "if (tier === 2) return { type: 'refuse', reason: 'starved', retryAfterMs: 0 }\n  const isBound = history.mayHaveRun",
     faults: [CALM]
   },
   {
--- a/cli/story/test/story.test.ts
+++ b/cli/story/test/story.test.ts
@@ -2,10 +2,10 @@
 import { request } from 'undici'
 import { until } from '@gullwall/bench.deployment'
 import { formatStoryLine, readLines, tellStory, type StoryLine } from '@gullwall/cli.story'
-import { GatewayDeployment, StandIn, type Behaviour } from '../../../entry/gateway/test/stand-in.ts'
+import { GatewayDeployment, StubEndpoint, type Behaviour } from '../../../entry/gateway/test/gateway-deployment.ts'
 
-const first = new StandIn('i-first', 'app')
-const second = new StandIn('i-second', 'app')
+const first = new StubEndpoint('i-first', 'app')
+const second = new StubEndpoint('i-second', 'app')
 const deployment = new GatewayDeployment([first, second])
 
 let ids = 0
@@ -24,7 +24,7 @@
     body
   })
   await reply.body.text().catch(() => '')
-  return { status: reply.statusCode, story: tellStory(readLines(deployment.lines.join('\n')).lines, id) }
+  return { status: reply.statusCode, story: tellStory(readLines(deployment.logLines.join('\n')).lines, id) }
 }
 
 function behave (behaviour: Behaviour): void {
@@ -61,12 +61,12 @@
   ])('a refusal, with %s', async (_what, { tokens, running }, why) => {
     const unread = [{ urgency: 0, tokens }]
     const works = [first, second].map(({ incarnation }) => ({ incarnation, unread, running, strain: 0, sensitive: 0, unreachable: 0 }))
-    deployment.gateway.get('workExchange').receive({ kind: 'workSums', whole: false, peers: 0, works, holdings: [] })
+    deployment.gateway.get('loadExchange').receive({ kind: 'workSums', whole: false, peers: 0, works, holdings: [] })
     const { status, story } = await storyOf('/draft/1', { 'x-gullwall-prompt-parts': 'subject:5000,own:900' })
     expect(status).toBe(503)
     expect(own(story).at(-1)).toMatchObject({ what: 'refuse' })
     expect(own(story).at(-1)?.why).toMatch(why)
-    deployment.gateway.get('workExchange').receive({ kind: 'workSums', whole: true, peers: 0, works: [], holdings: [] })
+    deployment.gateway.get('loadExchange').receive({ kind: 'workSums', whole: true, peers: 0, works: [], holdings: [] })
   })
 
   it('a stream that broke off and could not go on', async () => {
@@ -80,10 +80,10 @@
   })
 
   it('a refusal, since its only data centre is evacuated, with when that came into force', async () => {
-    const caller = { hasLeft: false, leftBefore: async () => false }
+    const caller = { isDisconnected: false, wasDisconnectedBefore: async () => false }
     const order = async (isEvacuated: boolean) => {
       await deployment.control.get('evacuations').order({ dataCentre: 'dc1', isEvacuated, caller })
-      await until('the order in force', () => deployment.gateway.get('evacuatedPlaces').isEvacuated('dc1') === isEvacuated)
+      await until('the order in force', () => deployment.gateway.get('evacuatedDataCentres').isEvacuated('dc1') === isEvacuated)
     }
     await order(true)
     const { status, story } = await storyOf('/order/3', {}, 'x')
--- a/control/program/src/call-budget.ts
+++ b/control/program/src/call-rate-limiter.ts
@@ -9,7 +9,7 @@
 const MAX_BACKOFF_MS = 5000
 const MS_PER_S = 1000
 
-export class CallBudget {
+export class CallRateLimiter {
   private readonly perMs: number
   private readonly most: number
   private saved: number
@@ -25,20 +25,20 @@
   }
 
   /** Whether the pause after a failure is over. */
-  mayTry (now: number): boolean {
+  isBackoffOver (now: number): boolean {
     return now >= this.nextTryAt
   }
 
-  mayCall (now: number): boolean {
-    return this.mayTry(now) && this.savedBy(now) >= 1
+  canCall (now: number): boolean {
+    return this.isBackoffOver(now) && this.savedBy(now) >= 1
   }
 
-  noteCall (now: number): void {
+  recordCall (now: number): void {
     this.saved = this.savedBy(now) - 1
     this.savedAt = now
   }
 
-  noteAnswer (): void {
+  recordSuccess (): void {
     this.backoffMs = FIRST_BACKOFF_MS
   }
 
--- a/control/program/src/control-server.ts
+++ b/control/program/src/control-server.ts
@@ -5,7 +5,7 @@
 import { memberAddresses, ownLinkAddress } from './membership.ts'
 import { createOperatorApi } from './operator-api.ts'
 import { type ControlServices } from './index.ts'
-import { PacedAction } from './paced-action.ts'
+import { ThrottledAction } from './throttled-action.ts'
 
 type ProcessRevision = MessageOf<'inForce'>['processes'][number]
 
@@ -26,11 +26,11 @@
   private readonly linkHttp: HttpServer | undefined
   private acceptor: LinkAcceptor | undefined
   private timer: NodeJS.Timeout | undefined
-  private readonly counting = new PacedAction(() => COUNT_SPACING_MS, () => this.tellControls())
+  private readonly counting = new ThrottledAction(() => COUNT_SPACING_MS, () => this.tellControls())
   private readonly announced = new Map<Link, string>()
 
   constructor (private readonly services: ControlServices) {
-    this.http = new HttpServer(services.api?.(services) ?? createOperatorApi(services, () => this.inForceEverywhere()))
+    this.http = new HttpServer(services.api?.(services) ?? createOperatorApi(services, () => this.collectProcessRevisions()))
     this.linkHttp = services.settings.links === undefined ? undefined : new HttpServer(new Koa())
   }
 
@@ -47,7 +47,7 @@
       onRequest: (link, message) => this.answer(link, message),
       onClose: (link) => this.closed(link)
     })
-    members.onChange((change) => this.toEntries((link) => link.send(change)))
+    members.onChange((change) => this.forEachEntry((link) => link.send(change)))
     this.timer = setInterval(() => this.tellControls(), TELL_CONTROLS_MS)
     if (settings.links !== undefined) await this.linkHttp?.listen(settings.links)
     this.address = await this.http.listen(settings.listen)
@@ -63,7 +63,7 @@
   }
 
   /** What is in force at each process linked to this one or to a peer. */
-  async inForceEverywhere (): Promise<ProcessRevision[]> {
+  async collectProcessRevisions (): Promise<ProcessRevision[]> {
     const asked = this.services.peers.links().map(async (link) => {
       try {
         return (await link.request({ kind: 'inForce', processes: [] }, 'inForce', IN_FORCE_TIMEOUT_MS)).processes
@@ -84,7 +84,7 @@
     this.services.spreader.opened(link)
     if (link.peer.role !== 'entry') return
     link.send({ kind: 'members', whole: true, present: this.services.members.all(), gone: [] })
-    this.services.registrar.tellAll(link)
+    this.services.registrar.sendAllLeases(link)
     link.send(this.controls())
     this.counting.request()
   }
@@ -92,7 +92,7 @@
   /** Tells the entries which control processes there are, and how many entries share the budgets. */
   private tellControls (): void {
     const message = this.controls()
-    this.toEntries((link) => link.send(message))
+    this.forEachEntry((link) => link.send(message))
   }
 
   private controls (): MessageOf<'controls'> {
@@ -104,7 +104,7 @@
 
   private closed (link: Link): void {
     this.services.spreader.closed(link)
-    this.services.workRelay.closed(link)
+    this.services.loadRelay.removeLink(link)
     if (link.peer.role === 'entry') this.counting.request()
     const address = this.announced.get(link)
     if (address === undefined) return
@@ -116,42 +116,42 @@
   private receive (link: Link, message: Message): void {
     const { spreader, members } = this.services
     if (link.peer.role === 'control') {
-      if (message.kind === 'members') members.learn(link.peer.name, message)
-      if (message.kind === 'leases') this.services.registrar.learn(message.leases)
-      if (message.kind === 'workSums') this.services.workRelay.fromPeer(link, message)
+      if (message.kind === 'members') members.applyPeerChange(link.peer.name, message)
+      if (message.kind === 'leases') this.services.registrar.receiveFromPeer(message.leases)
+      if (message.kind === 'workSums') this.services.loadRelay.receiveFromPeer(link, message)
       return
     }
     if (spreader.receive(link, message)) return
     if (message.kind === 'work') {
-      this.services.workRelay.fromEntry(link, message)
+      this.services.loadRelay.receiveFromEntry(link, message)
       return
     }
     if (message.kind === 'draining') {
-      this.services.registrar.hearDraining(message.incarnations)
+      this.services.registrar.receiveDraining(message.incarnations)
       return
     }
     if (message.kind === 'limits') {
-      this.services.registrar.hearLimits(message.limits)
+      this.services.registrar.receiveLimits(message.limits)
       return
     }
     if (message.kind === 'usage') {
-      this.services.usageReporter.fromEntry(link, message)
+      this.services.usageReporter.receiveFromEntry(link, message)
       return
     }
     if (message.kind === 'announce') {
       this.announced.set(link, message.member.address)
-      members.announce(message.member)
+      members.addLocal(message.member)
     }
   }
 
   private async answer (link: Link, message: Message): Promise<Message> {
     const { proposer, quorum } = this.services
     switch (message.kind) {
-      case 'confirm': return await proposer.confirm()
+      case 'confirm': return await proposer.confirmRevision()
       case 'claim': return await proposer.claim(message)
       case 'settle': return await proposer.settle(message)
-      case 'crashes': return await this.services.crashJudge.note(message)
-      case 'coldAsk': return await this.services.granter.answer(message, { isForwarded: link.peer.role === 'control' })
+      case 'crashes': return await this.services.crashEvaluator.recordCrashes(message)
+      case 'coldAsk': return await this.services.granter.handleRequest(message, { isForwarded: link.peer.role === 'control' })
     }
     if (link.peer.role !== 'control') return { kind: 'failed', code: 'ERR_GULLWALL_NOT_ALLOWED', message: `${message.kind} from ${link.peer.role}` }
     switch (message.kind) {
@@ -159,9 +159,9 @@
       case 'leases':
         this.services.leases.merge(message.leases)
         return { kind: 'done' }
-      case 'usageOf': return this.services.usageReporter.partsOf(message.window)
+      case 'usageOf': return this.services.usageReporter.getUsageParts(message.window)
       case 'join': return await this.admit(message)
-      case 'propose': return { kind: 'proposed', ...await proposer.proposeHere(message.data) }
+      case 'propose': return { kind: 'proposed', ...await proposer.proposeLocally(message.data) }
       default: return await quorum.handle(message)
     }
   }
@@ -179,7 +179,7 @@
     return await peers.call(leaderAddress, message, 'done', IN_FORCE_TIMEOUT_MS)
   }
 
-  toEntries (send: (link: Link) => void): void {
+  forEachEntry (send: (link: Link) => void): void {
     for (const link of this.acceptor?.links ?? []) {
       if (link.peer.role === 'entry') send(link)
     }
--- a/control/program/src/crash-judge.ts
+++ b/control/program/src/crash-evaluator.ts
@@ -6,7 +6,7 @@
 import { gauge, type Registry } from '@gullwall/core.metrics'
 import { type ForgetCrashesCommand, type QuarantineResult } from '@gullwall/control.state'
 import { type MessageOf } from '@gullwall/transport.messages'
-import { FirstSeen } from './first-seen.ts'
+import { AgeTracker } from './age-tracker.ts'
 import { type ControlServices } from './index.ts'
 
 /** How often the leader looks whether there is something to judge or to forget, in ms. */
@@ -21,15 +21,15 @@
 /** A request is held for so long, in ms. Then it may run again, and one crash holds it anew: one engine in half an hour at most. */
 const HELD_MS = 30 * 60_000
 
-export interface CrashJudgeOptions {
-  crashKeptMs?: number
-  heldMs?: number
+export interface CrashEvaluatorOptions {
+  crashRetentionMs?: number
+  quarantineMs?: number
   now?: () => number
 }
 
-export class CrashJudge {
-  private readonly crashAges = new FirstSeen<string>()
-  private readonly heldAges = new FirstSeen<string>()
+export class CrashEvaluator {
+  private readonly crashAges = new AgeTracker<string>()
+  private readonly heldAges = new AgeTracker<string>()
   private readonly now: () => number
   private unjudgedSince: number | undefined
   private isBusy = false
@@ -37,13 +37,13 @@
 
   constructor (
     private readonly services: Pick<ControlServices, 'state' | 'quorum' | 'proposer' | 'logger'>,
-    private readonly options: CrashJudgeOptions = {}
+    private readonly options: CrashEvaluatorOptions = {}
   ) {
     this.now = options.now ?? (() => performance.now())
   }
 
   start (): void {
-    this.timer = setInterval(() => { void this.look() }, LOOK_MS)
+    this.timer = setInterval(() => { void this.runDueCommands() }, LOOK_MS)
   }
 
   stop (): void {
@@ -56,8 +56,8 @@
       const metric = gauge(registry, name, help)
       Object.assign(metric, { collect: () => metric.set(value()) })
     }
-    add('gullwall_quarantined_requests', 'Requests that are held because endpoints crash under them', () => evidence.held.size)
-    add('gullwall_crash_suspects', 'Requests that were running when an endpoint crashed and are not held', () => evidence.suspects)
+    add('gullwall_quarantined_requests', 'Requests that are held because endpoints crash under them', () => evidence.quarantined.size)
+    add('gullwall_crash_suspects', 'Requests that were running when an endpoint crashed and are not held', () => evidence.suspectCount)
     add('gullwall_crashes_kept', 'Crashes of endpoints that are remembered', () => evidence.endpoints.length)
   }
 
@@ -65,14 +65,14 @@
    * Takes what an entry saw; durable once this resolves.
    * @throws ERR_GULLWALL_NO_QUORUM, ERR_GULLWALL_NOT_LEADER, ERR_GULLWALL_OUTCOME_UNKNOWN; the same may be told again
    */
-  async note ({ crashes, ranWell }: MessageOf<'crashes'>): Promise<MessageOf<'done'>> {
-    const result = await this.services.proposer.quarantine({ type: 'note-crashes', crashes, ranWell })
+  async recordCrashes ({ crashes, ranWell }: MessageOf<'crashes'>): Promise<MessageOf<'done'>> {
+    const result = await this.services.proposer.applyQuarantineCommand({ type: 'note-crashes', crashes, ranWell })
     this.log(result, 'it has run well')
     return { kind: 'done' }
   }
 
   /** Judges and forgets what is due, if this process leads. */
-  async look (): Promise<void> {
+  async runDueCommands (): Promise<void> {
     if (this.services.quorum.role !== 'leader') {
       this.unjudgedSince = undefined
       this.crashAges.reset()
@@ -93,7 +93,7 @@
 
   private async judgeIfDue (): Promise<void> {
     const { evidence } = this.services.state.quarantine
-    if (evidence.isJudged) {
+    if (evidence.isEvaluated) {
       this.unjudgedSince = undefined
       return
     }
@@ -101,26 +101,26 @@
     this.unjudgedSince ??= now
     if (now - this.unjudgedSince < SETTLE_MS) return
     this.unjudgedSince = undefined
-    this.log(await this.services.proposer.quarantine({ type: 'judge-crashes' }), 'too many are held')
+    this.log(await this.services.proposer.applyQuarantineCommand({ type: 'judge-crashes' }), 'too many are held')
   }
 
   private async forgetIfDue (): Promise<void> {
     const { evidence } = this.services.state.quarantine
-    const { crashKeptMs = CRASH_KEPT_MS, heldMs = HELD_MS } = this.options
+    const { crashRetentionMs = CRASH_KEPT_MS, quarantineMs = HELD_MS } = this.options
     const now = this.now()
     const due: ForgetCrashesCommand = {
       type: 'forget-crashes',
-      endpoints: this.crashAges.olderThan(crashKeptMs, evidence.endpoints, now),
-      requests: this.heldAges.olderThan(heldMs, evidence.held, now)
+      endpoints: this.crashAges.findOlderThan(crashRetentionMs, evidence.endpoints, now),
+      requests: this.heldAges.findOlderThan(quarantineMs, evidence.quarantined, now)
     }
     if (due.endpoints.length + due.requests.length === 0) return
-    this.log(await this.services.proposer.quarantine(due), 'its time has passed; one more crash holds it again')
+    this.log(await this.services.proposer.applyQuarantineCommand(due), 'its time has passed; one more crash holds it again')
   }
 
   private log ({ held, released }: QuarantineResult, whyReleased: string): void {
     const { logger, state: { quarantine: { evidence } } } = this.services
     for (const fingerprint of held) {
-      const why = `${evidence.crashesOf(fingerprint)} endpoints crashed while it was running there, and nothing else explains that`
+      const why = `${evidence.countCrashes(fingerprint)} endpoints crashed while it was running there, and nothing else explains that`
       logger.warn({ channel: 'quarantine', event: 'held', fingerprint, why })
     }
     for (const fingerprint of released) logger.info({ channel: 'quarantine', event: 'released', fingerprint, why: whyReleased })
--- a/control/program/src/scaling-wiring.ts
+++ b/control/program/src/create-scaling-controller.ts
@@ -1,23 +1,23 @@
 /** Puts the orderer of endpoints together from the services of a control process. */
 import { type RoutingDocument } from '@gullwall/config.document'
 import { type ControlServices } from './index.ts'
-import { DutyLease } from './duty-lease.ts'
-import { seeDemand, type SeenDemand } from './scaling-demand.ts'
-import { ScalingOrderer } from './scaling-orderer.ts'
+import { LeaderLease } from './leader-lease.ts'
+import { observeDemand, type ObservedDemand } from './scaling-demand.ts'
+import { ScalingController } from './scaling-controller.ts'
 
 /** Makes the orderer; it does nothing where no settings or no sink are given, or no service has a `scaling`. */
-export function scalingOrdererOf (services: ControlServices): ScalingOrderer {
+export function createScalingController (services: ControlServices): ScalingController {
   const { settings, quorum, scalingSink, state, proposer, logger } = services
   const watch = new DemandWatch(services)
-  return new ScalingOrderer({
-    lease: new DutyLease({
+  return new ScalingController({
+    lease: new LeaderLease({
       leaseMs: settings.scaling?.leaseMs ?? Infinity,
       leadingTerm: () => quorum.role === 'leader' ? quorum.status().term : undefined,
-      confirm: async () => await quorum.confirmRead()
+      confirmLeadership: async () => await quorum.confirmRead()
     }),
     orders: state.scalingOrders,
     decide: async (command) => await proposer.decideScaling(command),
-    see: () => watch.see(),
+    observeDemand: () => watch.see(),
     sink: settings.scaling === undefined ? undefined : scalingSink,
     holder: settings.box,
     callsPerSecond: settings.scaling?.callsPerSecond ?? 1,
@@ -31,13 +31,13 @@
 
   constructor (private readonly services: ControlServices) {}
 
-  see (): SeenDemand[] {
+  see (): ObservedDemand[] {
     const document = this.scaledDocument()
     if (document === undefined) return []
-    const { leases, workRelay, quorum } = this.services
-    const work = workRelay.everything()
+    const { leases, loadRelay, quorum } = this.services
+    const work = loadRelay.getSnapshot()
     const others = Object.keys(quorum.membership.voters).filter((name) => name !== quorum.name).length
-    return seeDemand({ document, leases, work, isWhole: work.peersHeard >= others })
+    return observeDemand({ document, leases, load: work, isWhole: work.activePeerCount >= others })
   }
 
   /** The document in force, read again only once a record has changed; none where no service in it has a `scaling`. */
--- a/control/program/src/demand-history.ts
+++ b/control/program/src/demand-history.ts
@@ -5,12 +5,12 @@
   /** How many endpoints the demand keeps as busy as they are meant to be. */
   load: number
   /** The load when an endpoint that is ordered now will serve. */
-  foreseen: number
+  forecast: number
 }
 
 export interface NewSample extends Pick<DemandSample, 'at' | 'load'> {
   /** How far is to be foreseen, in ms. */
-  aheadMs: number
+  horizonMs: number
 }
 
 /**
@@ -53,18 +53,18 @@
    * Takes a sample; what it lets foresee is added to it.
    * @param keptMs for how long samples are remembered; the oldest is the last one that is not younger
    */
-  add ({ at, load, aheadMs }: NewSample, keptMs: number): void {
-    const sample: DemandSample = { at, load, foreseen: load }
+  add ({ at, load, horizonMs }: NewSample, keptMs: number): void {
+    const sample: DemandSample = { at, load, forecast: load }
     this.samples.push(sample)
-    sample.foreseen = this.foreseen(aheadMs)
+    sample.forecast = this.foreseen(horizonMs)
     const since = at - Math.max(keptMs, MOST_TREND_MS)
     const firstKept = this.samples.findIndex(({ at }) => at > since)
     if (firstKept > 1) this.samples = this.samples.slice(firstKept - 1)
   }
 
   /** The highest load that was foreseen within a time. */
-  mostForeseen (withinMs: number): number {
-    return this.since(withinMs).reduce((most, { foreseen }) => Math.max(most, foreseen), 0)
+  findMaxForecast (withinMs: number): number {
+    return this.since(withinMs).reduce((most, { forecast }) => Math.max(most, forecast), 0)
   }
 
   /** The load after a time ahead, if it rises on as it did; a fall is not expected to go on. */
--- a/control/program/src/documents.ts
+++ b/control/program/src/documents.ts
@@ -4,7 +4,7 @@
 import { checkRegions, type RoutingDocument } from '@gullwall/config.document'
 import { Regions } from '@gullwall/config.settings'
 import { type DocumentResult, type StoredDocument } from '@gullwall/control.state'
-import { appliedHere } from './applied-here.ts'
+import { waitUntilApplied } from './wait-until-applied.ts'
 import { type ControlServices } from './index.ts'
 
 export class Documents {
@@ -30,7 +30,7 @@
     const held = this.services.state.document
     // What is applied here was accepted by a quorum before.
     if (held !== undefined && held.version >= version) return Right({ taken: false, version: held.version })
-    return Right(await this.services.proposer.document({ type: 'document', version, text }))
+    return Right(await this.services.proposer.proposeDocument({ type: 'document', version, text }))
   }
 
   /**
@@ -39,8 +39,8 @@
    */
   async read (): Promise<StoredDocument | undefined> {
     const { proposer, state, store } = this.services
-    const { revision } = await proposer.confirm()
-    await appliedHere(store, revision, 'read document')
+    const { revision } = await proposer.confirmRevision()
+    await waitUntilApplied(store, revision, 'read document')
     return state.document
   }
 
--- a/control/program/src/evacuations.ts
+++ b/control/program/src/evacuations.ts
@@ -6,7 +6,7 @@
 import { GullwallError } from '@gullwall/core.error'
 import { counter, gauge, type Registry } from '@gullwall/core.metrics'
 import { evacuatedIn, evacuationOf, evacuationsIn, type EvacuationResult, type StoredEvacuation } from '@gullwall/control.state'
-import { appliedHere } from './applied-here.ts'
+import { waitUntilApplied } from './wait-until-applied.ts'
 import { type ControlServices } from './index.ts'
 import { type OrderCaller } from './order-caller.ts'
 
@@ -47,7 +47,7 @@
     const order: PendingOrder = { ...given, receivedAt, seen }
     try {
       this.assertKnown(order)
-      if (await order.caller.leftBefore()) throw this.late(order, 'ERR_GULLWALL_CALLER_LEFT', 'its caller has left')
+      if (await order.caller.wasDisconnectedBefore()) throw this.late(order, 'ERR_GULLWALL_CALLER_LEFT', 'its caller has left')
       return await this.carryOut(order)
     } catch (error) {
       this.noteFailure(order, error)
@@ -61,8 +61,8 @@
    */
   async read (): Promise<Map<string, StoredEvacuation>> {
     const { proposer, store } = this.services
-    const { revision } = await proposer.confirm()
-    await appliedHere(store, revision, 'read evacuations')
+    const { revision } = await proposer.confirmRevision()
+    await waitUntilApplied(store, revision, 'read evacuations')
     return evacuationsIn(store.records)
   }
 
@@ -93,7 +93,7 @@
         this.log(order, 'accepted', result.epoch, isEvacuated ? 'evacuated' : 'withdrawn')
         return result
       }
-      if (caller.hasLeft) throw this.late(order, 'ERR_GULLWALL_OVERTAKEN', `epoch ${order.seen} was overtaken by ${result.epoch}`)
+      if (caller.isDisconnected) throw this.late(order, 'ERR_GULLWALL_OVERTAKEN', `epoch ${order.seen} was overtaken by ${result.epoch}`)
       order.seen = result.epoch
     }
   }
--- a/control/program/src/grant-ledger.ts
+++ b/control/program/src/grant-ledger.ts
@@ -7,40 +7,40 @@
  * earlier; a request that was dispatched by then has been sent, or never is, soon after. So whatever is sent to an endpoint
  * within one window comes from grants of one span, and their sum is bounded.
  */
-import { boundOfRate, SendLog, type RateBound } from '@gullwall/routing.rates'
+import { createRateBound, SendLog, type RateBound } from '@gullwall/routing.rates'
 import { type Grant } from '@gullwall/transport.messages'
 
 /** One reason to bound what an endpoint is sent. */
 export interface GrantBound extends RateBound {
   /** For how long after it was asked for a grant is used, in ms. */
-  useMs: number
+  validMs: number
   /** A request that was dispatched within the use has been sent within this time after it or never is, in ms. */
-  sentWithinMs: number
+  maxSendDelayMs: number
   /** The most requests of one grant: what one box can't use in time is lost to all. */
-  maxGrant: number
+  maxRequestsPerGrant: number
   /** Whether boxes that are refused are asked to come back one after the other, and not as soon as there is more. */
   isQueued: boolean
   /** Nothing is granted for so long after the endpoint was first asked for, in ms: boxes that had not heard of it sent as they liked. */
-  settleMs: number
+  initialDelayMs: number
 }
 
 /** The time in which a cold endpoint's requests are counted, in ms. */
-export const WINDOW_MS = 1000
+export const COLD_WINDOW_MS = 1000
 /** For how long a grant to a cold endpoint is used, in ms: a round trip through two control processes and a few arrivals. */
-export const GRANT_USE_MS = 500
+export const COLD_GRANT_VALID_MS = 500
 /** After the use of such a grant, in ms: to connect takes 350 at most. */
-export const SENT_WITHIN_MS = 400
+export const COLD_MAX_SEND_DELAY_MS = 400
 /** The most requests of one grant to a cold endpoint. */
-export const MAX_GRANT = 5
+export const COLD_MAX_REQUESTS_PER_GRANT = 5
 /** For how long a grant under a named limit is used, in ms: the requests wait for it, and the first byte leaves within the use. */
-export const LIMIT_USE_MS = 250
+export const LIMIT_GRANT_VALID_MS = 250
 /** How much faster the clock of the ledger may run than that of an endpoint, and than that of a box that uses a grant. */
 const ENDPOINT_CLOCK_MARGIN = 0.025
 const BOX_CLOCK_MARGIN = 0.05
 /** A cold endpoint settles for so long, in ms: a heartbeat and its way to all boxes. */
-export const SETTLE_MS = 1100
+export const COLD_INITIAL_DELAY_MS = 1100
 /** One that has named a limit, in ms: the way of the word to all boxes. */
-export const LIMIT_SETTLE_MS = 250
+export const LIMIT_INITIAL_DELAY_MS = 250
 const COLD_PARTS = 2
 /** An endpoint that nobody has asked for is forgotten after this time, in ms: longer than any span, and than pauses of light traffic. */
 const FORGET_MS = 30_000
@@ -54,34 +54,41 @@
 const LATE_MS = 1000
 
 /** The bound of a cold endpoint, for so many requests within any second. */
-export function coldGrantBound (requests: number): GrantBound {
+export function createColdGrantBound (requests: number): GrantBound {
   return {
     requests,
-    windowMs: WINDOW_MS,
-    parts: COLD_PARTS,
-    extra: 0,
-    useMs: GRANT_USE_MS,
-    sentWithinMs: SENT_WITHIN_MS,
-    maxGrant: MAX_GRANT,
+    windowMs: COLD_WINDOW_MS,
+    segments: COLD_PARTS,
+    extraPerSegment: 0,
+    validMs: COLD_GRANT_VALID_MS,
+    maxSendDelayMs: COLD_MAX_SEND_DELAY_MS,
+    maxRequestsPerGrant: COLD_MAX_REQUESTS_PER_GRANT,
     isQueued: false,
-    settleMs: SETTLE_MS
+    initialDelayMs: COLD_INITIAL_DELAY_MS
   }
 }
 
 /** The bound of an endpoint that takes so many requests a second; undefined where that bounds nothing. */
-export function limitGrantBound (perSecond: number): GrantBound | undefined {
-  const bound = boundOfRate(perSecond)
+export function createLimitGrantBound (perSecond: number): GrantBound | undefined {
+  const bound = createRateBound(perSecond)
   if (bound === undefined) return undefined
-  return { ...bound, useMs: LIMIT_USE_MS, sentWithinMs: 0, maxGrant: bound.requests, isQueued: true, settleMs: LIMIT_SETTLE_MS }
+  return {
+    ...bound,
+    validMs: LIMIT_GRANT_VALID_MS,
+    maxSendDelayMs: 0,
+    maxRequestsPerGrant: bound.requests,
+    isQueued: true,
+    initialDelayMs: LIMIT_INITIAL_DELAY_MS
+  }
 }
 
 /** Grants that are further apart than this have nothing in one window of the bound, in ms. */
-export function spanOf ({ windowMs, useMs, sentWithinMs }: GrantBound): number {
-  return Math.ceil((1 + ENDPOINT_CLOCK_MARGIN) * windowMs + (1 + BOX_CLOCK_MARGIN) * (useMs + sentWithinMs))
+export function computeAccountingWindowMs ({ windowMs, validMs, maxSendDelayMs }: GrantBound): number {
+  return Math.ceil((1 + ENDPOINT_CLOCK_MARGIN) * windowMs + (1 + BOX_CLOCK_MARGIN) * (validMs + maxSendDelayMs))
 }
 
 /** The span of grants to cold endpoints, in ms. */
-export const SPAN_MS = spanOf(coldGrantBound(0))
+export const COLD_ACCOUNTING_WINDOW_MS = computeAccountingWindowMs(createColdGrantBound(0))
 
 /** What was granted of one endpoint. */
 interface Account {
@@ -97,7 +104,7 @@
   queue: Map<string, number>
 }
 
-export interface LedgerAsk {
+export interface LedgerRequest {
   incarnation: string
   /** Who asks. */
   box: string
@@ -106,7 +113,7 @@
   /** All reasons to bound it; one that is bounded by none is granted nothing. */
   bounds: readonly GrantBound[]
   /** What it said last, by the clock of the ledger; none where it does not say. */
-  word?: { heardAt: number, coldMs: number } | undefined
+  coldStatus?: { receivedAt: number, coldMs: number } | undefined
 }
 
 export interface LedgerOptions {
@@ -114,10 +121,10 @@
    * Nothing is granted to cold endpoints before: what another ledger has granted may still be sent. It granted its last a span of such
    * grants earlier at the latest; from then on there are grants under limits, less what it may have granted of them.
    */
-  opensAt: number
-  spanOf?: (bound: GrantBound) => number
+  startsAt: number
+  computeAccountingWindowMs?: (bound: GrantBound) => number
   /** Instead of the times of the bounds, in ms. */
-  settleMs?: number
+  initialDelayMs?: number
 }
 
 export class GrantLedger {
@@ -126,28 +133,28 @@
   private readonly spanOf: (bound: GrantBound) => number
   private readonly settleMs: number | undefined
 
-  constructor ({ opensAt, spanOf: span = spanOf, settleMs }: LedgerOptions) {
-    this.opensAt = opensAt
+  constructor ({ startsAt, computeAccountingWindowMs: span = computeAccountingWindowMs, initialDelayMs }: LedgerOptions) {
+    this.opensAt = startsAt
     this.spanOf = span
-    this.settleMs = settleMs
+    this.settleMs = initialDelayMs
   }
 
   /** Grants what may be sent to an endpoint, or tells after which time to ask again. */
-  grant ({ incarnation, box, requests, bounds, word }: LedgerAsk, now: number): Grant {
+  grant ({ incarnation, box, requests, bounds, coldStatus }: LedgerRequest, now: number): Grant {
     const account = this.accountOf(incarnation, now)
-    if (hasTurnedCold(account, word)) account.firstAskedAt = now
+    if (hasTurnedCold(account, coldStatus)) account.firstAskedAt = now
     account.askedAt = now
     const spans = bounds.map((bound) => ({ ...bound, windowMs: this.spanOf(bound) }))
-    const longest = Math.max(SPAN_MS, ...spans.map(({ windowMs }) => windowMs))
-    account.grants.forgetBefore(now - Math.max(longest, FORGET_MS))
+    const longest = Math.max(COLD_ACCOUNTING_WINDOW_MS, ...spans.map(({ windowMs }) => windowMs))
+    account.grants.dropBefore(now - Math.max(longest, FORGET_MS))
     const opensAt = this.opensFor(account, spans)
     if (now < opensAt) return refusal(incarnation, turnAfter(account, box, { bounds, freeMs: opensAt - now, now }))
-    const free = spans.map((span) => Math.min(span.maxGrant, account.grants.free(span, now)))
+    const free = spans.map((span) => Math.min(span.maxRequestsPerGrant, account.grants.remaining(span, now)))
     const granted = Math.min(requests, ...(free.length === 0 ? [0] : free))
     if (granted < 1) return refusal(incarnation, turnAfter(account, box, { bounds, freeMs: untilFree(account, spans, now), now }))
     account.grants.add(granted, now)
     account.queue.delete(box)
-    return { incarnation, requests: granted, withinMs: Math.min(...bounds.map(({ useMs }) => useMs)) }
+    return { incarnation, requests: granted, withinMs: Math.min(...bounds.map(({ validMs }) => validMs)) }
   }
 
   /** Forgets endpoints that nobody asks for any more. */
@@ -158,20 +165,20 @@
   }
 
   /** For how many endpoints grants are counted. */
-  get size (): number {
+  get endpointCount (): number {
     return this.accounts.size
   }
 
   /** When the first request may be granted under all of the bounds; counts what another ledger may have granted under limits. */
   private opensFor (account: Account, spans: readonly GrantBound[]): number {
-    const othersEndedAt = this.opensAt - SPAN_MS
+    const othersEndedAt = this.opensAt - COLD_ACCOUNTING_WINDOW_MS
     const limit = spans.find(({ isQueued }) => isQueued)
     if (limit !== undefined && !account.isAssumed) {
       account.isAssumed = true
-      account.grants.assumeUsed(limit, othersEndedAt)
+      account.grants.assumeFullUse(limit, othersEndedAt)
     }
     const isCold = spans.some(({ isQueued }) => !isQueued)
-    const settleMs = this.settleMs ?? Math.max(0, ...spans.map((bound) => bound.settleMs))
+    const settleMs = this.settleMs ?? Math.max(0, ...spans.map((bound) => bound.initialDelayMs))
     return Math.max(isCold ? this.opensAt : othersEndedAt, account.firstAskedAt + settleMs)
   }
 
@@ -208,17 +215,17 @@
 
 /** After which time each bound that is used up allows more, in ms. */
 function untilFree ({ grants }: Account, spans: readonly RateBound[], now: number): number {
-  const usedUp = spans.filter((span) => grants.free(span, now) < 1)
-  return Math.max(LEAST_WAIT_MS, ...usedUp.map((span) => grants.untilFree(span, now)))
+  const usedUp = spans.filter((span) => grants.remaining(span, now) < 1)
+  return Math.max(LEAST_WAIT_MS, ...usedUp.map((span) => grants.waitMs(span, now)))
 }
 
 /** Notes the word of an endpoint; true if it was warm in between, so that boxes may still send as to a warm one. */
-function hasTurnedCold (account: Account, word: LedgerAsk['word']): boolean {
+function hasTurnedCold (account: Account, word: LedgerRequest['coldStatus']): boolean {
   if (word === undefined || word.coldMs === 0) return false
   const { coldUntil } = account
-  const until = word.heardAt + word.coldMs
+  const until = word.receivedAt + word.coldMs
   account.coldUntil = Math.max(until, coldUntil ?? -Infinity)
-  return coldUntil !== undefined && word.heardAt > coldUntil && word.coldMs > TURNED_COLD_MS
+  return coldUntil !== undefined && word.receivedAt > coldUntil && word.coldMs > TURNED_COLD_MS
 }
 
 function refusal (incarnation: string, waitMs: number): Grant {
--- a/control/program/src/granter.ts
+++ b/control/program/src/granter.ts
@@ -6,9 +6,9 @@
 import { RouteTable, type ColdLimit } from '@gullwall/config.document'
 import { GullwallError } from '@gullwall/core.error'
 import { counter, gauge, type Counter, type Registry } from '@gullwall/core.metrics'
-import { type Grant, type GrantWish, type MessageOf } from '@gullwall/transport.messages'
-import { GrantDuty } from './grant-duty.ts'
-import { coldGrantBound, limitGrantBound, type GrantBound, type GrantLedger, type LedgerAsk } from './grant-ledger.ts'
+import { type Grant, type GrantRequest, type MessageOf } from '@gullwall/transport.messages'
+import { LeasedGrantLedger } from './leased-grant-ledger.ts'
+import { createColdGrantBound, createLimitGrantBound, type GrantBound, type GrantLedger, type LedgerRequest } from './grant-ledger.ts'
 import { type ControlServices } from './index.ts'
 
 /** How often it is seen whether this process leads, in ms. */
@@ -20,31 +20,31 @@
   refused: Counter
 }
 
-export interface AskOptions {
+export interface GrantRequestOptions {
   /** Whether a peer has passed it on; it is not passed on again. */
   isForwarded: boolean
 }
 
 /** The most requests that a cold endpoint may get within a second, over all boxes. */
-export function coldBound ({ perSecond }: Pick<ColdLimit, 'perSecond'>, cold = { overrun: 1, slack: 0 }): number {
+export function computeColdBound ({ perSecond }: Pick<ColdLimit, 'perSecond'>, cold = { overrun: 1, slack: 0 }): number {
   return Math.floor(perSecond * cold.overrun + cold.slack)
 }
 
 export class Granter {
-  private readonly duty: GrantDuty
+  private readonly duty: LeasedGrantLedger
   private table: RouteTable | undefined
   private metrics: GranterMetrics | undefined
   private timer: NodeJS.Timeout | undefined
 
   constructor (private readonly services: ControlServices) {
-    this.duty = new GrantDuty({
+    this.duty = new LeasedGrantLedger({
       leadingTerm: () => services.quorum.role === 'leader' ? services.quorum.status().term : undefined,
-      confirm: async () => await services.quorum.confirmRead()
+      confirmLeadership: async () => await services.quorum.confirmRead()
     })
   }
 
   start (): void {
-    this.timer = setInterval(() => this.duty.observe(), OBSERVE_MS)
+    this.timer = setInterval(() => this.duty.observeTerm(), OBSERVE_MS)
   }
 
   stop (): void {
@@ -58,30 +58,30 @@
       refused: counter(registry, 'gullwall_cold_refusals_total', 'Wishes for cold endpoints that were not granted here')
     }
     const endpoints = gauge(registry, 'gullwall_cold_endpoints', 'Endpoints whose grants are counted here')
-    Object.assign(endpoints, { collect: () => endpoints.set(this.duty.size) })
+    Object.assign(endpoints, { collect: () => endpoints.set(this.duty.endpointCount) })
   }
 
   /**
    * Decides an entry's wishes, here or at the leader.
    * @throws ERR_GULLWALL_NO_QUORUM, ERR_GULLWALL_NOT_LEADER, ERR_GULLWALL_LINK_CLOSED, ERR_GULLWALL_LINK_TIMEOUT
    */
-  async answer (message: MessageOf<'coldAsk'>, { isForwarded }: AskOptions): Promise<MessageOf<'coldGranted'>> {
+  async handleRequest (message: MessageOf<'coldAsk'>, { isForwarded }: GrantRequestOptions): Promise<MessageOf<'coldGranted'>> {
     if (this.services.quorum.role !== 'leader') {
-      if (!isForwarded) return await this.services.proposer.askGrants(message)
+      if (!isForwarded) return await this.services.proposer.requestGrants(message)
       throw new GullwallError('ERR_GULLWALL_NOT_LEADER', 'this process does not lead', { step: 'grant', hint: 'ask again' })
     }
-    const ledger = await this.duty.held()
+    const ledger = await this.duty.acquire()
     if (ledger === undefined) {
       throw new GullwallError('ERR_GULLWALL_NO_QUORUM', 'this leader does not hold the lease', { step: 'grant', hint: 'ask again' })
     }
     return { kind: 'coldGranted', grants: message.wishes.map((wish) => this.decide(ledger, wish, message.entry)) }
   }
 
-  private decide (ledger: GrantLedger, wish: GrantWish, entry: string): Grant {
+  private decide (ledger: GrantLedger, wish: GrantRequest, entry: string): Grant {
     const { incarnation, requests } = wish
     const perSecond = this.limitHeld(wish)
     const bounds = this.boundsOf(wish, perSecond)
-    const ask = { incarnation, box: entry, requests, bounds, word: this.wordOf(incarnation) }
+    const ask = { incarnation, box: entry, requests, bounds, coldStatus: this.wordOf(incarnation) }
     const grant = { ...ledger.grant(ask, performance.now()), perSecond }
     this.metrics?.asks.inc()
     if (grant.requests > 0) this.metrics?.granted.inc(grant.requests)
@@ -91,29 +91,29 @@
   }
 
   /** The limit that holds, in requests a second: the smaller of what the entry has heard and what was told here. */
-  private limitHeld ({ incarnation, perSecond }: GrantWish): number | undefined {
+  private limitHeld ({ incarnation, perSecond }: GrantRequest): number | undefined {
     const told = this.services.leases.get(incarnation)?.limit?.perSecond
     return perSecond === undefined || told === undefined ? perSecond ?? told : Math.min(perSecond, told)
   }
 
   /** Every reason to bound an endpoint; none where it is granted nothing. */
-  private boundsOf ({ incarnation, service, isWarm }: GrantWish, perSecond: number | undefined): GrantBound[] {
-    const limit = perSecond === undefined ? undefined : limitGrantBound(perSecond)
+  private boundsOf ({ incarnation, service, isWarm }: GrantRequest, perSecond: number | undefined): GrantBound[] {
+    const limit = perSecond === undefined ? undefined : createLimitGrantBound(perSecond)
     const isCold = isWarm !== true || (this.services.leases.get(incarnation)?.coldMs ?? 0) > 0
     const coldLimit = isCold ? this.limitOf(service) : undefined
-    const cold = coldLimit === undefined ? undefined : coldGrantBound(coldBound(coldLimit, this.services.settings.cold))
+    const cold = coldLimit === undefined ? undefined : createColdGrantBound(computeColdBound(coldLimit, this.services.settings.cold))
     return [limit, cold].filter((bound) => bound !== undefined)
   }
 
-  private wordOf (incarnation: string): LedgerAsk['word'] {
+  private wordOf (incarnation: string): LedgerRequest['coldStatus'] {
     const lease = this.services.leases.get(incarnation)
-    return lease?.coldMs === undefined ? undefined : { heardAt: lease.heardAt, coldMs: lease.coldMs }
+    return lease?.coldMs === undefined ? undefined : { receivedAt: lease.receivedAt, coldMs: lease.coldMs }
   }
 
   private log ({ entry, requests, bounds, grant }: { entry: string, requests: number, bounds: readonly GrantBound[], grant: Grant }): void {
     const { incarnation, withinMs } = grant
     const lease = this.services.leases.get(incarnation)
-    const word = lease === undefined ? 'not known here' : `word ${Math.round(performance.now() - lease.heardAt)} ms old, cold for ${lease.coldMs ?? '?'} ms then`
+    const word = lease === undefined ? 'not known here' : `word ${Math.round(performance.now() - lease.receivedAt)} ms old, cold for ${lease.coldMs ?? '?'} ms then`
     const what = grant.requests > 0 ? `${grant.requests} of ${requests} within ${withinMs} ms` : `none of ${requests}, ask again after ${withinMs} ms`
     const event = grant.requests > 0 ? 'granted' : 'not-granted'
     this.services.logger.sampled(event, {
--- a/control/program/src/index.ts
+++ b/control/program/src/index.ts
@@ -13,7 +13,7 @@
 import { linkMetrics, type Link } from '@gullwall/transport.link'
 import { nativeFormat, type DocumentFormat } from '@gullwall/config.document'
 import { Granter } from './granter.ts'
-import { CrashJudge } from './crash-judge.ts'
+import { CrashEvaluator } from './crash-evaluator.ts'
 import { ControlServer } from './control-server.ts'
 import { Documents } from './documents.ts'
 import { Evacuations } from './evacuations.ts'
@@ -21,23 +21,23 @@
 import { LeaseStore } from './lease-store.ts'
 import { foundingOf, targetVoters } from './membership.ts'
 import { Registrar } from './registrar.ts'
-import { Nearness, type Turn } from './nearness.ts'
+import { Proximity, type PublishPriority } from './proximity.ts'
 import { MemberTable } from './member-table.ts'
 import { ControlPeers } from './peers.ts'
 import { Proposer } from './proposer.ts'
-import { type ScalingOrderer } from './scaling-orderer.ts'
+import { type ScalingController } from './scaling-controller.ts'
 import { type ScalingSink } from './scaling-sink.ts'
-import { scalingOrdererOf } from './scaling-wiring.ts'
+import { createScalingController } from './create-scaling-controller.ts'
 import { UsageReporter } from './usage-reporter.ts'
 import { type UsageSink } from './usage-sink.ts'
-import { WorkRelay } from './work-relay.ts'
+import { LoadRelay } from './load-relay.ts'
 
 export * from './order-caller.ts'
 export * from './scaling-sink.ts'
 export * from './usage-sink.ts'
 
 /** How long a push to an entry waits for the entry to have the same from nearer by, in ms. */
-const PUSH_DELAY_MS: Record<Turn, number> = { first: 0, second: 250, last: 600 }
+const PUSH_DELAY_MS: Record<PublishPriority, number> = { first: 0, second: 250, last: 600 }
 
 export interface ControlServices {
   settings: ControlSettings
@@ -49,15 +49,15 @@
   state: ControlState
   members: MemberTable
   peers: ControlPeers
-  nearness: Nearness
+  proximity: Proximity
   quorum: QuorumNode
   proposer: Proposer
   granter: Granter
-  crashJudge: CrashJudge
+  crashEvaluator: CrashEvaluator
   leases: LeaseTable
   leaseStore: LeaseStore
   registrar: Registrar
-  workRelay: WorkRelay
+  loadRelay: LoadRelay
   documents: Documents
   evacuations: Evacuations
   joiner: Joiner
@@ -69,7 +69,7 @@
   usageReporter: UsageReporter
   /** Where usage is reported to; none where nobody asks for it. */
   usageSink: UsageSink | undefined
-  scalingOrderer: ScalingOrderer
+  scalingController: ScalingController
   /** Where endpoints are ordered; none where nobody takes orders. */
   scalingSink: ScalingSink | undefined
 }
@@ -101,7 +101,7 @@
     .service('state', createState)
     .service('members', () => new MemberTable())
     .service('peers', (services) => new ControlPeers(services))
-    .service('nearness', (services) => new Nearness(services))
+    .service('proximity', (services) => new Proximity(services))
     .value('format', options.format ?? nativeFormat)
     .value('api', options.api)
     .value('usageSink', options.usageSink)
@@ -109,16 +109,16 @@
     .service('leases', createLeases)
     .service('registrar', (services) => new Registrar(services))
     .service('leaseStore', (services) => new LeaseStore(services))
-    .service('workRelay', (services) => new WorkRelay(services))
+    .service('loadRelay', (services) => new LoadRelay(services))
     .service('documents', (services) => new Documents(services))
     .service('evacuations', (services) => new Evacuations(services))
     .service('server', (services) => new ControlServer(services))
     .service('quorum', createQuorum)
     .service('proposer', (services) => new Proposer(services))
     .service('granter', (services) => new Granter(services))
-    .service('crashJudge', (services) => new CrashJudge(services))
+    .service('crashEvaluator', (services) => new CrashEvaluator(services))
     .service('usageReporter', (services) => new UsageReporter(services))
-    .service('scalingOrderer', scalingOrdererOf)
+    .service('scalingController', createScalingController)
     .service('joiner', (services) => new Joiner(services))
     .service('admin', (services) => new ControlAdmin(services))
 }
@@ -133,16 +133,16 @@
 }
 
 /** Each entry is linked to every control process; those near it push first. */
-function pushDelayMs (link: Link, { nearness }: ControlServices): number {
-  return link.peer.role === 'entry' ? PUSH_DELAY_MS[nearness.turnFor(link)] : 0
+function pushDelayMs (link: Link, { proximity }: ControlServices): number {
+  return link.peer.role === 'entry' ? PUSH_DELAY_MS[proximity.getPublishPriority(link)] : 0
 }
 
 function createLeases (services: ControlServices): LeaseTable {
   return new LeaseTable({
     logger: services.logger,
     onChange: (changed) => {
-      services.registrar.changed(changed)
-      services.leaseStore.changed()
+      services.registrar.publishChanges(changed)
+      services.leaseStore.requestSave()
     }
   })
 }
@@ -175,9 +175,9 @@
     linkMetrics(registry)
     evacuations.addMetrics(registry)
     this.services.granter.addMetrics(registry)
-    this.services.crashJudge.addMetrics(registry)
+    this.services.crashEvaluator.addMetrics(registry)
     this.services.registrar.addMetrics(registry)
-    this.services.scalingOrderer.addMetrics(registry)
+    this.services.scalingController.addMetrics(registry)
     this.http = createAdminServer({
       registry,
       notReady: () => quorum.leaderName === undefined ? 'no leader is known' : undefined,
@@ -188,7 +188,7 @@
           revision: store.revision,
           quorum: quorum.status(),
           boxes: members.all().length,
-          quarantined: [...this.services.state.quarantine.evidence.held]
+          quarantined: [...this.services.state.quarantine.evidence.quarantined]
         })
       }
     })
--- a/control/program/src/duty-lease.ts
+++ b/control/program/src/leader-lease.ts
@@ -7,24 +7,24 @@
 import { suspensions } from '@gullwall/core.clock'
 
 /** What a holder shows with each act; a higher token replaces all lower ones. */
-export interface Fence {
+export interface AcquiredLease {
   token: number
   /** Until when the holder may begin to act, by the monotonic clock. */
   validUntil: number
   /** For how long this process had been suspended when it asked for the fence, in ms; what it sleeps since counts against it. */
-  sleptMs: number
+  suspendedMsAtAcquire: number
 }
 
-export interface DutyLeaseOptions {
+export interface LeaderLeaseOptions {
   /** No other process acts within this time after the latest moment at which this one may have begun to act, in ms. */
   leaseMs: number
   /** The term in which this process leads; undefined while it does not. */
   leadingTerm: () => number | undefined
   /** Resolves once a majority has answered that this process still leads, to questions asked after the call. */
-  confirm: () => Promise<unknown>
+  confirmLeadership: () => Promise<unknown>
   now?: () => number
   /** For how long this process has been suspended so far, in ms. */
-  slept?: () => number
+  suspendedMs?: () => number
 }
 
 /**
@@ -33,7 +33,7 @@
  */
 const ACTING_SHARE = 0.5
 
-export class DutyLease {
+export class LeaderLease {
   private term: number | undefined
   private ledSince = -Infinity
   /** The token that the outside has refused because it has seen a higher one. */
@@ -41,14 +41,14 @@
   private readonly now: () => number
   private readonly slept: () => number
 
-  constructor (private readonly options: DutyLeaseOptions) {
+  constructor (private readonly options: LeaderLeaseOptions) {
     this.now = options.now ?? (() => performance.now())
-    this.slept = options.slept ?? (() => suspensions.slept())
+    this.slept = options.suspendedMs ?? (() => suspensions.suspendedMs())
   }
 
   /** Gives the fence under which this process may act now; undefined while it may not. */
-  async acquire (): Promise<Fence | undefined> {
-    const { leaseMs, confirm } = this.options
+  async acquire (): Promise<AcquiredLease | undefined> {
+    const { leaseMs, confirmLeadership } = this.options
     const token = this.observeTerm()
     if (token === undefined || token === this.refusedToken) return undefined
     // The leader before may have been confirmed until just before this one was elected.
@@ -56,22 +56,22 @@
     const askedAt = this.now()
     const sleptMs = this.slept()
     try {
-      await confirm()
+      await confirmLeadership()
     } catch {
       // Not confirmed is the ordinary answer to a leader that is cut off; it may not act.
       return undefined
     }
     if (this.observeTerm() !== token) return undefined
-    return { token, validUntil: askedAt + ACTING_SHARE * leaseMs, sleptMs }
+    return { token, validUntil: askedAt + ACTING_SHARE * leaseMs, suspendedMsAtAcquire: sleptMs }
   }
 
-  isValid ({ token, validUntil, sleptMs }: Fence): boolean {
-    const now = this.now() + this.slept() - sleptMs
+  isValid ({ token, validUntil, suspendedMsAtAcquire }: AcquiredLease): boolean {
+    const now = this.now() + this.slept() - suspendedMsAtAcquire
     return this.observeTerm() === token && token !== this.refusedToken && now < validUntil
   }
 
   /** Notes that a higher token was seen outside: this term acts no more. */
-  noteRefused (token: number): void {
+  recordRefusedToken (token: number): void {
     this.refusedToken = token
   }
 
--- a/control/program/src/lease-store.ts
+++ b/control/program/src/lease-store.ts
@@ -8,7 +8,7 @@
 import { messageOf } from '@gullwall/core.error'
 import { leaseSchema, type Lease } from '@gullwall/transport.messages'
 import { type ControlServices } from './index.ts'
-import { PacedAction } from './paced-action.ts'
+import { ThrottledAction } from './throttled-action.ts'
 
 const FILE = 'leases'
 /** The file is written after changes of state, so often at most, in ms; refreshed leases are not written. */
@@ -22,7 +22,7 @@
 const fileSchema = z.array(leaseSchema)
 
 export class LeaseStore {
-  private readonly saving = new PacedAction(() => SAVE_SPACING_MS, () => { void this.save() })
+  private readonly saving = new ThrottledAction(() => SAVE_SPACING_MS, () => { void this.save() })
   private isSaving = false
   private isStopped = false
 
@@ -44,7 +44,7 @@
   }
 
   /** Notes that leases have changed. */
-  changed (): void {
+  requestSave (): void {
     if (!this.isStopped) this.saving.request()
   }
 
@@ -55,7 +55,7 @@
 
   private async save (): Promise<void> {
     if (this.isSaving) {
-      this.changed()
+      this.requestSave()
       return
     }
     this.isSaving = true
@@ -63,7 +63,7 @@
       await writeChecked(this.services.disk, FILE, JSON.stringify(this.services.leases.toWire()))
     } catch (error) {
       this.log('the leases can\'t be written', error)
-      this.changed()
+      this.requestSave()
     } finally {
       this.isSaving = false
     }
--- a/control/program/src/work-relay.ts
+++ b/control/program/src/load-relay.ts
@@ -5,9 +5,9 @@
  */
 import { ReadingTable, WorkloadTable } from '@gullwall/control.workload'
 import { type Link } from '@gullwall/transport.link'
-import { type Holding, type MessageOf, type Reading, type WorkSummary } from '@gullwall/transport.messages'
+import { type Holding, type MessageOf, type Reading, type LoadSummary } from '@gullwall/transport.messages'
 import { type ControlServices } from './index.ts'
-import { PacedAction } from './paced-action.ts'
+import { ThrottledAction } from './throttled-action.ts'
 
 /**
  * Changes that arrive within this time for each entry are told together, in ms; the first after a pause is told at once. An
@@ -53,14 +53,14 @@
 type Counts = (source: Link) => boolean
 
 /** All that is known to be under way. */
-export interface AllWork {
-  works: WorkSummary[]
+export interface LoadSnapshot {
+  works: LoadSummary[]
   readings: Reading[]
   /** Peers that were heard lately. */
-  peersHeard: number
+  activePeerCount: number
 }
 
-export class WorkRelay {
+export class LoadRelay {
   private readonly table = new WorkloadTable<Link>()
   /** The entries that tell this process, by their links. */
   private readonly entries = new Map<Link, ListeningEntry>()
@@ -70,13 +70,13 @@
   private news = noNews()
   /** What was not told to other regions yet. */
   private farNews = noNews()
-  private readonly telling = new PacedAction(() => this.spacingMs, () => this.tell())
-  private readonly tellingFar = new PacedAction(() => FARTHER_SPACING_MS, () => this.tellFar())
+  private readonly telling = new ThrottledAction(() => this.spacingMs, () => this.tell())
+  private readonly tellingFar = new ThrottledAction(() => FARTHER_SPACING_MS, () => this.tellFar())
   private readonly readings = new ReadingTable()
-  private readonly tellingReadings = new PacedAction(() => READINGS_MS, () => this.tellReadings())
+  private readonly tellingReadings = new ThrottledAction(() => READINGS_MS, () => this.tellReadings())
   private repeatTimer: NodeJS.Timeout | undefined
 
-  constructor (private readonly services: Pick<ControlServices, 'peers' | 'nearness'>) {}
+  constructor (private readonly services: Pick<ControlServices, 'peers' | 'proximity'>) {}
 
   start (): void {
     this.repeatTimer = setInterval(() => this.repeat(), REPEAT_MS)
@@ -90,12 +90,12 @@
   }
 
   /** What all entries have under way, as far as it was told here. */
-  everything (): AllWork {
-    return { works: this.wholeOf(() => true).works, readings: this.readings.all(performance.now()), peersHeard: this.peersHeard }
+  getSnapshot (): LoadSnapshot {
+    return { works: this.wholeOf(() => true).works, readings: this.readings.all(performance.now()), activePeerCount: this.peersHeard }
   }
 
   /** Takes what an entry has under way. */
-  fromEntry (link: Link, { works, holdings, observations, listens }: MessageOf<'work'>): void {
+  receiveFromEntry (link: Link, { works, holdings, observations, listens }: MessageOf<'work'>): void {
     if (!listens) {
       this.forgetEntry(link)
       return
@@ -111,19 +111,19 @@
   }
 
   /** Takes the sums of a peer's entries. */
-  fromPeer (link: Link, { whole, works, holdings }: MessageOf<'workSums'>): void {
+  receiveFromPeer (link: Link, { whole, works, holdings }: MessageOf<'workSums'>): void {
     this.peerHeardAt.set(link, performance.now())
     this.note(link, whole ? this.table.replace(link, works) : this.table.update(link, works))
     this.noteHoldings(link, holdings)
   }
 
   /** Gives a peer whose link has just opened the sums of the entries here. */
-  tellWhole (peer: Link): void {
+  sendSnapshot (peer: Link): void {
     peer.send(this.wholeOf(isEntry))
   }
 
   /** Forgets what came over a link that has closed. */
-  closed (link: Link): void {
+  removeLink (link: Link): void {
     this.peerHeardAt.delete(link)
     if (this.entries.has(link)) this.forgetEntry(link)
     else this.note(link, this.table.remove(link))
@@ -170,8 +170,8 @@
   }
 
   private peers (which: 'near' | 'farther'): Link[] {
-    const { peers, nearness } = this.services
-    return peers.links().filter((peer) => (nearness.distanceTo(peer) === 'other region') === (which === 'farther'))
+    const { peers, proximity } = this.services
+    return peers.links().filter((peer) => (proximity.getDistanceTo(peer) === 'other region') === (which === 'farther'))
   }
 
   private tell (): void {
@@ -212,7 +212,7 @@
     return works.length + holdings.length === 0 ? undefined : this.word(works, holdings)
   }
 
-  private word (works: WorkSummary[], holdings: Holding[] = []): MessageOf<'workSums'> {
+  private word (works: LoadSummary[], holdings: Holding[] = []): MessageOf<'workSums'> {
     return { kind: 'workSums', whole: false, peers: this.peersHeard, works, holdings }
   }
 
--- a/control/program/src/member-table.ts
+++ b/control/program/src/member-table.ts
@@ -36,12 +36,12 @@
     return [...known.values()]
   }
 
-  locals (): Member[] {
+  localMembers (): Member[] {
     return [...this.local.values()]
   }
 
   /** A linked sidecar says what it is. */
-  announce (member: Member): void {
+  addLocal (member: Member): void {
     clearTimeout(this.leases.get(member.address))
     this.leases.delete(member.address)
     this.local.set(member.address, member)
@@ -61,7 +61,7 @@
   }
 
   /** A peer tells of its sidecars. */
-  learn (peer: string, message: MemberChange): void {
+  applyPeerChange (peer: string, message: MemberChange): void {
     const known = message.whole ? new Map<string, Member>() : this.remote.get(peer) ?? new Map<string, Member>()
     for (const member of message.present) known.set(member.address, member)
     for (const address of message.gone) known.delete(address)
--- a/control/program/src/operator-api.ts
+++ b/control/program/src/operator-api.ts
@@ -41,7 +41,7 @@
 
   router.post('/operations', async (context) => await applyOperation(context, services))
   router.get('/records', async (context) => {
-    await proposer.confirm()
+    await proposer.confirmRevision()
     context.body = { revision: store.revision, records: Object.fromEntries(store.records.entries()) }
   })
   router.get('/history', (context) => {
@@ -76,7 +76,7 @@
   })
   router.put('/leases/:incarnation', async (context) => await putLease(context, services))
   router.delete('/leases/:incarnation', async (context) => {
-    await services.registrar.leave(String(context.params['incarnation']))
+    await services.registrar.markGone(String(context.params['incarnation']))
     context.body = {}
   })
 
@@ -99,7 +99,7 @@
     Left: async (mistakes) => badRequest(context, formatMistakes(mistakes)),
     Right: async (operation) => {
       const command: ApplyCommand = { type: 'apply', ...operation, at: new Date().toISOString() }
-      const result = await services.proposer.apply(command)
+      const result = await services.proposer.applyOperation(command)
       context.status = statusOf(result)
       context.body = result
     }
@@ -119,7 +119,7 @@
   await asked.caseOf({
     Left: async (mistakes) => badRequest(context, formatMistakes(mistakes)),
     Right: async (heartbeat) => {
-      await registrar.hear({ ...heartbeat, incarnation: String(context.params['incarnation']), ageMs: 0 })
+      await registrar.receiveHeartbeat({ ...heartbeat, incarnation: String(context.params['incarnation']), ageMs: 0 })
       context.body = {}
     }
   })
--- a/control/program/src/order-calls.ts
+++ b/control/program/src/order-call-tracker.ts
@@ -17,25 +17,25 @@
   doubts: Doubt[]
 }
 
-export class OrderCalls {
+export class OrderCallTracker {
   private readonly calls = new Map<string, Calls>()
 
   /**
    * Whether an order is to be sent: it was not answered under this token, or an older one may have been carried out since. Also
    * a new holder sends what a former one had answered, as its higher token ends the calls of that one that are still under way.
    */
-  isDue (key: string, { number, desired }: ScalingOrder, token: number, now: number): boolean {
+  isCallDue (key: string, { number, desired }: ScalingOrder, token: number, now: number): boolean {
     const { delivered, doubts } = this.of(key)
     if (delivered?.token !== token || delivered.order !== number) return true
     return doubts.some((doubt) => doubt.desired !== desired && doubt.until <= now)
   }
 
-  noteDelivered (key: string, { number }: ScalingOrder, token: number, now: number): void {
+  recordDelivered (key: string, { number }: ScalingOrder, token: number, now: number): void {
     const doubts = this.of(key).doubts.filter(({ until }) => until > now)
     this.calls.set(key, { delivered: { token, order: number }, doubts })
   }
 
-  noteFailed (key: string, { desired }: ScalingOrder, now: number): void {
+  recordFailed (key: string, { desired }: ScalingOrder, now: number): void {
     const { delivered, doubts } = this.of(key)
     const others = doubts.filter((doubt) => doubt.desired !== desired)
     this.calls.set(key, { delivered, doubts: [...others, { desired, until: now + LATE_MS }] })
--- a/control/program/src/order-caller.ts
+++ b/control/program/src/order-caller.ts
@@ -9,15 +9,15 @@
 const END_FOLLOWS_MS = 45
 
 export interface OrderCaller {
-  readonly hasLeft: boolean
+  readonly isDisconnected: boolean
   /** Looks whether the caller left before the order was read; true if it has. */
-  leftBefore: () => Promise<boolean>
+  wasDisconnectedBefore: () => Promise<boolean>
 }
 
 export class HttpCaller implements OrderCaller {
   constructor (private readonly response: ServerResponse) {}
 
-  get hasLeft (): boolean {
+  get isDisconnected (): boolean {
     const { destroyed, closed, socket } = this.response
     return destroyed || closed || socket === null || socket.readableEnded
   }
@@ -26,10 +26,10 @@
    * The bytes of an order that were held up on their way, or in a process that stood still, are read together with the end
    * of their connection, or a round trip before it.
    */
-  async leftBefore (): Promise<boolean> {
+  async wasDisconnectedBefore (): Promise<boolean> {
     await nextTurn()
     await nextTurn()
-    return this.hasLeft || await this.leavesWithin(END_FOLLOWS_MS)
+    return this.isDisconnected || await this.leavesWithin(END_FOLLOWS_MS)
   }
 
   private async leavesWithin (ms: number): Promise<boolean> {
@@ -40,7 +40,7 @@
         clearTimeout(timer)
         response.off('close', settle)
         socket?.off('end', settle)
-        resolve(this.hasLeft)
+        resolve(this.isDisconnected)
       }
       const timer = setTimeout(settle, ms)
       response.once('close', settle)
--- a/control/program/src/peers.ts
+++ b/control/program/src/peers.ts
@@ -61,7 +61,7 @@
   private dial (address: string): Dialer {
     const known = this.dialers.get(address)
     if (known !== undefined) return known
-    const { settings, startId, logger, members, store, registrar, workRelay } = this.services
+    const { settings, startId, logger, members, store, registrar, loadRelay } = this.services
     const dialer = new Dialer(address, {
       local: { role: 'control', name: settings.member, startId, dataCentre: settings.dataCentre },
       sharedKey: settings.linkKey,
@@ -70,9 +70,9 @@
       revision: () => store.revision,
       timing: PEER_TIMING,
       onOpen: (link) => {
-        link.send({ kind: 'members', whole: true, present: members.locals(), gone: [] })
-        registrar.tellAll(link)
-        workRelay.tellWhole(link)
+        link.send({ kind: 'members', whole: true, present: members.localMembers(), gone: [] })
+        registrar.sendAllLeases(link)
+        loadRelay.sendSnapshot(link)
       },
       onMessage: () => {},
       onClose: () => {}
--- a/control/program/src/proposer.ts
+++ b/control/program/src/proposer.ts
@@ -24,12 +24,12 @@
    * Has an operator's change accepted or refused.
    * @throws ERR_GULLWALL_NOT_LEADER, ERR_GULLWALL_OUTCOME_UNKNOWN, ERR_GULLWALL_LINK_CLOSED
    */
-  async apply (command: ApplyCommand): Promise<ApplyResult> {
+  async applyOperation (command: ApplyCommand): Promise<ApplyResult> {
     return JSON.parse((await this.propose(command)).result) as ApplyResult
   }
 
   /** Brings a routing document. */
-  async document (command: DocumentCommand): Promise<DocumentResult> {
+  async proposeDocument (command: DocumentCommand): Promise<DocumentResult> {
     const result = JSON.parse((await this.propose(command)).result) as DocumentResult
     const event = result.taken ? 'accepted' : 'ignored'
     const why = `document version ${command.version}; ${result.version} holds`
@@ -60,7 +60,7 @@
     return JSON.parse((await this.propose(command)).result) as UsageReport
   }
 
-  async usageDelivered (command: UsageDeliveredCommand): Promise<void> {
+  async recordUsageDelivered (command: UsageDeliveredCommand): Promise<void> {
     await this.propose(command)
   }
 
@@ -70,12 +70,12 @@
   }
 
   /** Brings what is known of crashed endpoints, or has it judged or forgotten; gives the requests that are held or let go by it. */
-  async quarantine (command: NoteCrashesCommand | JudgeCrashesCommand | ForgetCrashesCommand): Promise<QuarantineResult> {
+  async applyQuarantineCommand (command: NoteCrashesCommand | JudgeCrashesCommand | ForgetCrashesCommand): Promise<QuarantineResult> {
     return JSON.parse((await this.propose(command)).result) as QuarantineResult
   }
 
   /** Gives a revision that is not older than any accepted before the call. */
-  async confirm (): Promise<MessageOf<'confirmed'>> {
+  async confirmRevision (): Promise<MessageOf<'confirmed'>> {
     const { quorum, store } = this.services
     if (!this.leadsHere) return await this.forward({ kind: 'confirm' }, 'confirmed')
     await quorum.confirmRead()
@@ -83,12 +83,12 @@
   }
 
   /** Passes an entry's wishes for cold endpoints to the leader, which alone grants. */
-  async askGrants (message: MessageOf<'coldAsk'>): Promise<MessageOf<'coldGranted'>> {
+  async requestGrants (message: MessageOf<'coldAsk'>): Promise<MessageOf<'coldGranted'>> {
     return await this.forward(message, 'coldGranted')
   }
 
   /** Takes a command that a peer has forwarded. */
-  async proposeHere (data: string): Promise<Applied> {
+  async proposeLocally (data: string): Promise<Applied> {
     this.assertTolerance()
     return await this.services.quorum.propose(data)
   }
@@ -117,7 +117,7 @@
 
   private async propose (command: Command): Promise<Applied> {
     const data = JSON.stringify(command)
-    if (this.leadsHere) return await this.proposeHere(data)
+    if (this.leadsHere) return await this.proposeLocally(data)
     const { index, result } = await this.forward({ kind: 'propose', data }, 'proposed')
     return { index, result }
   }
--- a/control/program/src/nearness.ts
+++ b/control/program/src/proximity.ts
@@ -3,14 +3,14 @@
  * first, so that a word crosses between data centres, and between regions, once and is passed on inside.
  */
 import { Regions, type Distance } from '@gullwall/config.settings'
-import { rendezvousFirst } from '@gullwall/routing.balancer'
+import { selectByRendezvous } from '@gullwall/routing.balancer'
 import { type Link } from '@gullwall/transport.link'
 import { type ControlServices } from './index.ts'
 
 /** `first`: at once; `second`: if the entry has not heard by then; `last`: if its own region has not told it. */
-export type Turn = 'first' | 'second' | 'last'
+export type PublishPriority = 'first' | 'second' | 'last'
 
-export class Nearness {
+export class Proximity {
   private readonly regions: Regions
 
   constructor (private readonly services: {
@@ -20,13 +20,13 @@
     this.regions = new Regions(services.settings.regions)
   }
 
-  distanceTo (link: Link): Distance {
+  getDistanceTo (link: Link): Distance {
     return this.regions.distance(this.services.settings.dataCentre, link.peer.dataCentre)
   }
 
   /** When this process tells an entry. */
-  turnFor (entry: Link): Turn {
-    const distance = this.distanceTo(entry)
+  getPublishPriority (entry: Link): PublishPriority {
+    const distance = this.getDistanceTo(entry)
     if (distance === 'same data centre') return 'first'
     if (this.regions.names.size < 2) return 'second'
     const { name, dataCentre } = entry.peer
@@ -34,7 +34,7 @@
     if (distance === 'other region') return inRegion.length > 0 ? 'last' : 'second'
     if (inRegion.some((control) => control.dataCentre === dataCentre)) return 'second'
     // Entries without a control process in their data centre are spread among those of their region.
-    const first = rendezvousFirst(name, inRegion, (control) => control.name)
+    const first = selectByRendezvous(name, inRegion, (control) => control.name)
     return first?.name === this.services.settings.member ? 'first' : 'second'
   }
 
--- a/control/program/src/registrar.ts
+++ b/control/program/src/registrar.ts
@@ -5,12 +5,12 @@
  */
 import { GullwallError } from '@gullwall/core.error'
 import { gauge, type Registry } from '@gullwall/core.metrics'
-import { lifeOf, limitFromWire, type HeldLease } from '@gullwall/control.registry'
+import { lifeOf, limitFromWire, type KnownLease } from '@gullwall/control.registry'
 import { type Link } from '@gullwall/transport.link'
 import { type Lease, type MessageOf } from '@gullwall/transport.messages'
 import { type ControlServices } from './index.ts'
-import { type Turn } from './nearness.ts'
-import { PacedAction } from './paced-action.ts'
+import { type PublishPriority } from './proximity.ts'
+import { ThrottledAction } from './throttled-action.ts'
 
 /** Refreshed leases are passed on together, so often, in ms. */
 const REFRESH_MS = 3000
@@ -43,9 +43,9 @@
   private readonly untoldNear = new Set<string>()
   private readonly untoldFar = new Set<string>()
   private readonly untoldFarthest = new Set<string>()
-  private readonly tellingNear = new PacedAction(() => CHANGES_NEAR_MS, () => this.tell('first', drain(this.untoldNear)))
-  private readonly tellingFar = new PacedAction(() => CHANGES_FAR_MS, () => this.tell('second', drain(this.untoldFar)))
-  private readonly tellingFarthest = new PacedAction(() => CHANGES_FARTHEST_MS, () => this.tell('last', drain(this.untoldFarthest)))
+  private readonly tellingNear = new ThrottledAction(() => CHANGES_NEAR_MS, () => this.tell('first', drain(this.untoldNear)))
+  private readonly tellingFar = new ThrottledAction(() => CHANGES_FAR_MS, () => this.tell('second', drain(this.untoldFar)))
+  private readonly tellingFarthest = new ThrottledAction(() => CHANGES_FARTHEST_MS, () => this.tell('last', drain(this.untoldFarthest)))
 
   constructor (private readonly services: ControlServices) {}
 
@@ -64,7 +64,7 @@
    * Takes one heartbeat.
    * @throws ERR_GULLWALL_NO_QUORUM if the endpoint leaves and no majority could be told in time
    */
-  async hear (lease: Lease): Promise<void> {
+  async receiveHeartbeat (lease: Lease): Promise<void> {
     const { leases } = this.services
     const [merged] = leases.merge([lease])
     if (lease.state !== 'ready') {
@@ -77,36 +77,38 @@
   }
 
   /** Takes an entry's word of endpoints that said in an answer that they drain. */
-  hearDraining (incarnations: readonly string[]): void {
-    const news = incarnations.filter((incarnation) => this.services.leases.noteDraining(incarnation))
+  receiveDraining (incarnations: readonly string[]): void {
+    const news = incarnations.filter((incarnation) => this.services.leases.recordDraining(incarnation))
     if (news.length > 0) this.tellPeers(news)
   }
 
   /** Takes an entry's word of what endpoints have said of their limits. */
-  hearLimits (words: MessageOf<'limits'>['limits']): void {
+  receiveLimits (words: MessageOf<'limits'>['limits']): void {
     const { leases } = this.services
     const now = performance.now()
-    const news = words.filter((word) => leases.noteLimit(word.incarnation, limitFromWire(word, now))).map(({ incarnation }) => incarnation)
+    const news = words.filter(
+      (word) => leases.recordLimit(word.incarnation, limitFromWire(word, now))
+    ).map(({ incarnation }) => incarnation)
     if (news.length === 0) return
     this.tellPeers(news)
-    this.changed(news.flatMap((incarnation) => leases.get(incarnation) ?? []))
+    this.publishChanges(news.flatMap((incarnation) => leases.get(incarnation) ?? []))
   }
 
   /**
    * Takes word that an endpoint is gone, also of one that is not known here: its heartbeats may still arrive. Without a time
    * of birth its latest life is meant.
    */
-  async leave (name: string, born?: number): Promise<void> {
+  async markGone (name: string, born?: number): Promise<void> {
     const { leases } = this.services
     const meant = lifeOf(name, born)
     const known = leases.get(born === undefined ? leases.incarnationOf(name) : meant.incarnation)
     const { service, address, dataCentre, slots, sequence } = known ?? UNKNOWN_LEASE
     const { incarnation, life } = known ?? meant
-    await this.hear({ incarnation, life, service, address, dataCentre, slots, sequence: sequence + 1, state: 'gone', ageMs: 0 })
+    await this.receiveHeartbeat({ incarnation, life, service, address, dataCentre, slots, sequence: sequence + 1, state: 'gone', ageMs: 0 })
   }
 
   /** Notes a word about an endpoint that could not be understood, from whoever wrote it; it changes nothing. */
-  refused (name: string, why: string): void {
+  recordInvalidReport (name: string, why: string): void {
     this.refusals += 1
     this.services.logger.sampled('word refused', {
       channel: 'endpoint', event: 'refused', endpoint: name.slice(0, MAX_LOGGED), why: `${why.slice(0, MAX_LOGGED)}; ${this.refusals} since the start`
@@ -120,7 +122,7 @@
   }
 
   /** Passes changes on to the entries linked here. */
-  changed (changed: readonly HeldLease[]): void {
+  publishChanges (changed: readonly KnownLease[]): void {
     for (const { incarnation } of changed) {
       this.untoldNear.add(incarnation)
       this.untoldFar.add(incarnation)
@@ -132,21 +134,21 @@
   }
 
   /** Takes leases that a peer has told; those that are merely refreshed go on to the entries near here. */
-  learn (told: readonly Lease[]): void {
+  receiveFromPeer (told: readonly Lease[]): void {
     const { leases } = this.services
     const outcomes = leases.merge(told)
     this.tell('first', told.filter((_lease, index) => outcomes[index] === 'refreshed').map(({ incarnation }) => incarnation))
   }
 
   /** Tells the entries whose turn it is. */
-  private tell (turn: Turn, incarnations: readonly string[]): void {
-    this.tellEntries(incarnations, (link) => this.services.nearness.turnFor(link) === turn)
+  private tell (turn: PublishPriority, incarnations: readonly string[]): void {
+    this.tellEntries(incarnations, (link) => this.services.proximity.getPublishPriority(link) === turn)
   }
 
   private tellEntries (incarnations: readonly string[], isMeant: (link: Link) => boolean): void {
     if (incarnations.length === 0) return
     const message = { kind: 'leases', leases: this.wire(incarnations) } as const
-    this.services.server.toEntries((link) => { if (isMeant(link)) link.send(message) })
+    this.services.server.forEachEntry((link) => { if (isMeant(link)) link.send(message) })
   }
 
   private wire (incarnations: Iterable<string>): Lease[] {
@@ -155,7 +157,7 @@
   }
 
   /** Tells all leases on a link that has just opened. */
-  tellAll (link: Link): void {
+  sendAllLeases (link: Link): void {
     link.send({ kind: 'leases', leases: this.services.leases.toWire() })
   }
 
@@ -184,7 +186,7 @@
     this.rounds += 1
     this.tellPeers(incarnations)
     const isForAll = this.rounds % ROUNDS_TO_ALL === 0
-    this.tellEntries(incarnations, (link) => isForAll || this.services.nearness.turnFor(link) === 'first')
+    this.tellEntries(incarnations, (link) => isForAll || this.services.proximity.getPublishPriority(link) === 'first')
   }
 }
 
--- a/control/program/src/scaling-orderer.ts
+++ b/control/program/src/scaling-controller.ts
@@ -6,21 +6,21 @@
 import { messageOf } from '@gullwall/core.error'
 import { type Logger } from '@gullwall/core.logger'
 import { counter, gauge, type Counter, type Gauge, type Registry } from '@gullwall/core.metrics'
-import { CallBudget } from './call-budget.ts'
-import { type DutyLease, type Fence } from './duty-lease.ts'
-import { OrderCalls } from './order-calls.ts'
-import { type SeenDemand } from './scaling-demand.ts'
+import { CallRateLimiter } from './call-rate-limiter.ts'
+import { type LeaderLease, type AcquiredLease } from './leader-lease.ts'
+import { OrderCallTracker } from './order-call-tracker.ts'
+import { type ObservedDemand } from './scaling-demand.ts'
 import { ScalingPolicy } from './scaling-policy.ts'
 import { type ScalingSink } from './scaling-sink.ts'
 import { type DeliveryOutcome } from './usage-sink.ts'
 
-export interface ScalingOrdererOptions {
-  lease: Pick<DutyLease, 'acquire' | 'isValid' | 'noteRefused' | 'observeTerm'>
+export interface ScalingControllerOptions {
+  lease: Pick<LeaderLease, 'acquire' | 'isValid' | 'recordRefusedToken' | 'observeTerm'>
   orders: Pick<ScalingOrders, 'of'>
   /** Has an order decided in the replicated log. */
   decide: (command: DecideScalingCommand) => Promise<ScalingResult>
   /** Looks at the demand now. */
-  see: () => SeenDemand[]
+  observeDemand: () => ObservedDemand[]
   /** None where nobody takes orders; then nothing is looked at. */
   sink: ScalingSink | undefined
   holder: string
@@ -33,7 +33,7 @@
 /** How often demand is looked at, in ms: twice within the time that is taken for the present. */
 const LOOK_MS = 500
 
-interface Subject extends SeenDemand {
+interface Subject extends ObservedDemand {
   key: string
   policy: ScalingPolicy
 }
@@ -44,22 +44,22 @@
   desired: Gauge<'service' | 'data_centre'>
 }
 
-export class ScalingOrderer {
+export class ScalingController {
   private readonly subjects = new Map<string, Subject>()
-  private readonly calls = new OrderCalls()
-  private readonly budget: CallBudget
+  private readonly calls = new OrderCallTracker()
+  private readonly budget: CallRateLimiter
   private readonly now: () => number
   private metrics: OrdererMetrics | undefined
   private timer: NodeJS.Timeout | undefined
   private isBusy = false
 
-  constructor (private readonly options: ScalingOrdererOptions) {
+  constructor (private readonly options: ScalingControllerOptions) {
     this.now = options.now ?? (() => performance.now())
-    this.budget = new CallBudget(options.callsPerSecond)
+    this.budget = new CallRateLimiter(options.callsPerSecond)
   }
 
   start (): void {
-    if (this.options.sink !== undefined) this.timer = setInterval(() => { void this.look() }, LOOK_MS)
+    if (this.options.sink !== undefined) this.timer = setInterval(() => { void this.runOnce() }, LOOK_MS)
   }
 
   stop (): void {
@@ -75,7 +75,7 @@
   }
 
   /** Looks at the demand, in every process, so that one that takes over knows its past; then acts if this one may. */
-  async look (): Promise<void> {
+  async runOnce (): Promise<void> {
     const term = this.options.lease.observeTerm()
     this.observe()
     if (term === undefined || this.isBusy) return
@@ -93,7 +93,7 @@
   private observe (): void {
     const now = this.now()
     const seen = new Set<string>()
-    for (const part of this.options.see()) {
+    for (const part of this.options.observeDemand()) {
       const key = JSON.stringify([part.service, part.dataCentre])
       const policy = this.subjects.get(key)?.policy ?? new ScalingPolicy()
       policy.observe(part.demand, part.scaling, now)
@@ -121,8 +121,8 @@
         return
       }
       const order = this.orderOf(subject)
-      if (order === undefined || !this.calls.isDue(subject.key, order, fence.token, this.now())) continue
-      if (!this.budget.mayCall(this.now())) return
+      if (order === undefined || !this.calls.isCallDue(subject.key, order, fence.token, this.now())) continue
+      if (!this.budget.canCall(this.now())) return
       await this.send(subject, order, fence)
     }
   }
@@ -131,8 +131,8 @@
   private isDue (subject: Subject): boolean {
     const token = this.options.lease.observeTerm()
     const order = this.orderOf(subject)
-    if (token === undefined || !this.budget.mayTry(this.now())) return false
-    return this.next(subject) !== undefined || (order !== undefined && this.calls.isDue(subject.key, order, token, this.now()))
+    if (token === undefined || !this.budget.isBackoffOver(this.now())) return false
+    return this.next(subject) !== undefined || (order !== undefined && this.calls.isCallDue(subject.key, order, token, this.now()))
   }
 
   private next ({ policy, scaling, ...subject }: Subject) {
@@ -156,11 +156,11 @@
     this.log('decided', subject, this.options.lease.observeTerm() ?? 0, next.why)
   }
 
-  private async send (subject: Subject, order: ScalingOrder, fence: Fence): Promise<void> {
+  private async send (subject: Subject, order: ScalingOrder, fence: AcquiredLease): Promise<void> {
     const { lease, sink, holder } = this.options
     if (sink === undefined || !lease.isValid(fence)) return
     const { service, dataCentre, desired } = order
-    this.budget.noteCall(this.now())
+    this.budget.recordCall(this.now())
     const outcome = await sink.order({ service, dataCentre, desired, holder, ...fence })
     this.metrics?.calls.inc({ outcome: outcome.type })
     this.metrics?.desired.set({ service, data_centre: dataCentre }, desired)
@@ -170,21 +170,21 @@
   private note (subject: Subject, order: ScalingOrder, token: number, outcome: DeliveryOutcome): void {
     switch (outcome.type) {
       case 'delivered':
-        this.budget.noteAnswer()
-        this.calls.noteDelivered(subject.key, order, token, this.now())
+        this.budget.recordSuccess()
+        this.calls.recordDelivered(subject.key, order, token, this.now())
         this.log('ordered', subject, token, 'taken')
         break
       case 'fenced':
-        this.options.lease.noteRefused(token)
+        this.options.lease.recordRefusedToken(token)
         this.log('fenced', subject, token, 'a higher fencing token was seen; this term orders no more')
         break
       case 'expired':
         this.log('postponed', subject, token, 'the time of the fence was over before it was sent')
         break
       case 'failed':
-        this.calls.noteFailed(subject.key, order, this.now())
-        this.log('postponed', subject, token, outcome.why)
-        this.budget.backOff(this.now(), outcome.backOffMs)
+        this.calls.recordFailed(subject.key, order, this.now())
+        this.log('postponed', subject, token, outcome.reason)
+        this.budget.backOff(this.now(), outcome.backoffMs)
         break
     }
   }
--- a/control/program/src/scaling-demand.ts
+++ b/control/program/src/scaling-demand.ts
@@ -1,13 +1,13 @@
 /** What control sees of the demand for the services whose endpoints it orders, by service and data centre. */
 import { type RoutingDocument, type Scaling } from '@gullwall/config.document'
-import { type HeldLease, type LeaseTable } from '@gullwall/control.registry'
-import { ReadingObserver } from '@gullwall/routing.balancer'
-import { type WorkSummary } from '@gullwall/transport.messages'
+import { type KnownLease, type LeaseTable } from '@gullwall/control.registry'
+import { PrefillObserver } from '@gullwall/routing.balancer'
+import { type LoadSummary } from '@gullwall/transport.messages'
 import { type Demand } from './scaling-policy.ts'
-import { type AllWork } from './work-relay.ts'
+import { type LoadSnapshot } from './load-relay.ts'
 
 /** The demand for a service in a data centre where it runs. */
-export interface SeenDemand {
+export interface ObservedDemand {
   service: string
   dataCentre: string
   scaling: Scaling
@@ -17,7 +17,7 @@
 export interface DemandSources {
   document: RoutingDocument
   leases: Pick<LeaseTable, 'all' | 'isUsable'>
-  work: Pick<AllWork, 'works' | 'readings'>
+  load: Pick<LoadSnapshot, 'works' | 'readings'>
   isWhole: boolean
 }
 
@@ -26,10 +26,10 @@
 /** The wait that is aimed at where no route names a target, in ms. */
 const DEFAULT_WAIT_MS = 250
 /** How fast an endpoint is taken to read that nobody has seen reading. */
-const UNKNOWN_TOKENS_PER_MS = new ReadingObserver().tokensPerMs
+const UNKNOWN_TOKENS_PER_MS = new PrefillObserver().tokensPerMs
 
 /** Gives the demand at each data centre where an endpoint of a service with `scaling` is known. */
-export function seeDemand (sources: DemandSources): SeenDemand[] {
+export function observeDemand (sources: DemandSources): ObservedDemand[] {
   const { document, leases } = sources
   const present = leases.all().filter(({ state }) => state !== 'gone')
   const scaled = document.services.flatMap(({ name, scaling }) => scaling === undefined ? [] : [{ name, scaling }])
@@ -44,10 +44,10 @@
 }
 
 /** Endpoints that leave count with what still runs there: what follows it comes to the others. */
-function demandAt (held: readonly HeldLease[], { leases, work, isWhole }: DemandSources): Omit<Demand, 'aimedWaitMs'> {
+function demandAt (held: readonly KnownLease[], { leases, load, isWhole }: DemandSources): Omit<Demand, 'aimedWaitMs'> {
   const names = new Set(held.map(({ incarnation }) => incarnation))
-  const works = work.works.filter(({ incarnation }) => names.has(incarnation))
-  const speeds = work.readings.filter(({ incarnation }) => names.has(incarnation)).map(({ tokensPerMs }) => tokensPerMs)
+  const works = load.works.filter(({ incarnation }) => names.has(incarnation))
+  const speeds = load.readings.filter(({ incarnation }) => names.has(incarnation)).map(({ tokensPerMs }) => tokensPerMs)
   const ready = held.filter(({ incarnation }) => leases.isUsable(incarnation))
   return {
     ready: ready.length,
@@ -65,7 +65,7 @@
   return named.length === 0 ? DEFAULT_WAIT_MS : WAIT_SHARE * Math.min(...named)
 }
 
-function unreadAt ({ unread }: WorkSummary): number {
+function unreadAt ({ unread }: LoadSummary): number {
   return sum(unread.map(({ tokens }) => tokens))
 }
 
--- a/control/program/src/scaling-policy.ts
+++ b/control/program/src/scaling-policy.ts
@@ -63,7 +63,7 @@
     }
     this.latest = demand
     this.wholeSince = demand.isWhole ? this.wholeSince ?? now : undefined
-    this.history.add({ at: now, load: this.loadOf(demand), aheadMs: scaling.bootMs }, holdMsOf(scaling))
+    this.history.add({ at: now, load: this.loadOf(demand), horizonMs: scaling.bootMs }, computeStabilisationMs(scaling))
   }
 
   /**
@@ -75,14 +75,14 @@
     const newest = history.newest
     if (latest === undefined || newest === undefined || history.spanMs < SETTLE_MS) return undefined
     const held = ordered ?? latest.ready
-    const wanted = within(scaling, Math.ceil(newest.foreseen - NEGLIGIBLE))
+    const wanted = within(scaling, Math.ceil(newest.forecast - NEGLIGIBLE))
     if (wanted > held) return { desired: wanted, why: this.explain(held, 'up', now) }
-    const holdMs = holdMsOf(scaling)
+    const holdMs = computeStabilisationMs(scaling)
     // What boots is there for a demand that may only be waiting for it.
     const isBooting = latest.ready < held
     const isWhole = this.wholeSince !== undefined && now - this.wholeSince >= SETTLE_MS
     if (isBooting || !isWhole || history.spanMs < holdMs) return undefined
-    const most = history.mostForeseen(holdMs)
+    const most = history.findMaxForecast(holdMs)
     const kept = within(scaling, Math.ceil(most + Math.max(LEAST_KEEP, KEEP_SHARE * most)))
     return kept < held ? { desired: kept, why: this.explain(held, `not more for ${holdMs} ms`, now) } : undefined
   }
@@ -94,16 +94,16 @@
 
   private explain (held: number, direction: string, now: number): string {
     const { ready, slots, running, unreadTokens, tokensPerMs, aimedWaitMs } = this.latest as Demand
-    const { at, load, foreseen } = this.history.newest ?? { at: now, load: 0, foreseen: 0 }
+    const { at, load, forecast } = this.history.newest ?? { at: now, load: 0, forecast: 0 }
     const waitMs = unreadTokens / tokensPerMs / Math.max(1, ready)
     return `${direction} from ${held}: ${running} running on ${slots} slots of ${ready} ready, ${unreadTokens} tokens unread, ` +
-      `wait ${Math.round(waitMs)} ms of ${Math.round(aimedWaitMs)}, load ${load.toFixed(2)}, foreseen ${foreseen.toFixed(2)}, ` +
+      `wait ${Math.round(waitMs)} ms of ${Math.round(aimedWaitMs)}, load ${load.toFixed(2)}, foreseen ${forecast.toFixed(2)}, ` +
       `seen ${Math.round(now - at)} ms ago, for ${Math.round(this.history.spanMs)} ms`
   }
 }
 
 /** For how long demand must have been lower. */
-export function holdMsOf ({ bootMs }: Pick<Scaling, 'bootMs'>): number {
+export function computeStabilisationMs ({ bootMs }: Pick<Scaling, 'bootMs'>): number {
   return Math.min(MOST_HOLD_MS, Math.max(LEAST_HOLD_MS, HOLD_BOOTS * bootMs))
 }
 
--- a/control/program/src/paced-action.ts
+++ b/control/program/src/throttled-action.ts
@@ -1,6 +1,6 @@
 /** An action that many events ask for and that one run serves for all of them. */
 
-export class PacedAction {
+export class ThrottledAction {
   private timer: NodeJS.Timeout | undefined
   private ranAt = -Infinity
 
--- a/control/program/src/usage-reporter.ts
+++ b/control/program/src/usage-reporter.ts
@@ -7,7 +7,7 @@
 import { GullwallError, messageOf } from '@gullwall/core.error'
 import { type Link } from '@gullwall/transport.link'
 import { type MessageOf } from '@gullwall/transport.messages'
-import { DutyLease, type Fence } from './duty-lease.ts'
+import { LeaderLease, type AcquiredLease } from './leader-lease.ts'
 import { type ControlServices } from './index.ts'
 import { UsageStore } from './usage-store.ts'
 
@@ -34,7 +34,7 @@
   private readonly table = new UsageTable()
   private readonly clock = new SteadyWallClock()
   private readonly startedAt = this.clock.now()
-  private readonly lease: DutyLease
+  private readonly lease: LeaderLease
   private readonly store: UsageStore
   /** The starts of entries that have told this process, now or before its restart. */
   private readonly localSources = new Set<string>()
@@ -46,12 +46,12 @@
   private nextTryAt = -Infinity
 
   constructor (private readonly services: ControlServices) {
-    this.lease = new DutyLease({
+    this.lease = new LeaderLease({
       leaseMs: services.settings.usage?.leaseMs ?? Infinity,
       leadingTerm: () => services.quorum.role === 'leader' ? services.quorum.status().term : undefined,
-      confirm: async () => await services.quorum.confirmRead()
+      confirmLeadership: async () => await services.quorum.confirmRead()
     })
-    this.store = new UsageStore({ services, take: () => this.takeKept() })
+    this.store = new UsageStore({ services, takeSnapshot: () => this.takeKept() })
   }
 
   async start (): Promise<void> {
@@ -73,18 +73,18 @@
   }
 
   /** Takes what an entry has counted. */
-  fromEntry ({ peer }: Link, { windows }: MessageOf<'usage'>): void {
+  receiveFromEntry ({ peer }: Link, { windows }: MessageOf<'usage'>): void {
     const source = `${peer.name}/${peer.startId}`
     this.localSources.add(source)
     this.table.merge(source, windows)
-    if (this.services.settings.usage !== undefined) this.store.changed()
+    if (this.services.settings.usage !== undefined) this.store.requestSave()
   }
 
   /**
    * Answers a peer that holds the lease.
    * @throws ERR_GULLWALL_NOT_READY while the counts from before the start are not read: it would take the rest for all
    */
-  partsOf (window: number): MessageOf<'usageParts'> {
+  getUsageParts (window: number): MessageOf<'usageParts'> {
     if (!this.isRestored) {
       throw new GullwallError('ERR_GULLWALL_NOT_READY', 'the counts from before the start are not read yet', { step: 'tell usage', hint: 'ask again' })
     }
@@ -155,27 +155,27 @@
     return { isComplete: parts.length >= others }
   }
 
-  private async deliver (report: UsageReport, { token, validUntil }: Fence): Promise<void> {
+  private async deliver (report: UsageReport, { token, validUntil }: AcquiredLease): Promise<void> {
     const { settings, usageSink, proposer, logger } = this.services
     const { window, counts } = report
-    const outcome = await usageSink?.deliver({ window, counts, holder: settings.box, token, validUntil }) ?? { type: 'failed', why: 'no sink' }
+    const outcome = await usageSink?.deliver({ window, counts, holder: settings.box, token, validUntil }) ?? { type: 'failed', reason: 'no sink' }
     const facts = { channel: 'usage', window, token } as const
     switch (outcome.type) {
       case 'delivered':
         this.backoffMs = FIRST_BACKOFF_MS
         logger.info({ ...facts, event: 'reported', why: `${total(report)} requests of ${counts.length} organisations` })
-        await proposer.usageDelivered({ type: 'usage-delivered', window })
+        await proposer.recordUsageDelivered({ type: 'usage-delivered', window })
         break
       case 'fenced':
-        this.lease.noteRefused(token)
+        this.lease.recordRefusedToken(token)
         logger.warn({ ...facts, event: 'fenced', why: 'a higher fencing token was seen; this term reports no more' })
         break
       case 'expired':
         logger.warn({ ...facts, event: 'postponed', why: 'the time of the fence was over before it was sent' })
         break
       case 'failed':
-        logger.warn({ ...facts, event: 'postponed', why: outcome.why })
-        this.backOff(outcome.backOffMs)
+        logger.warn({ ...facts, event: 'postponed', why: outcome.reason })
+        this.backOff(outcome.backoffMs)
         break
     }
   }
--- a/control/program/src/usage-sink.ts
+++ b/control/program/src/usage-sink.ts
@@ -16,7 +16,7 @@
   /** It was not sent, since its time was over when it was about to be. */
   | { type: 'expired' }
   /** It was not taken, or it is not known whether it was; it may be sent again, though not for as long as was asked for. */
-  | { type: 'failed', why: string, backOffMs?: number | undefined }
+  | { type: 'failed', reason: string, backoffMs?: number | undefined }
 
 export interface UsageSink {
   deliver (report: FencedReport): Promise<DeliveryOutcome>
--- a/control/program/src/usage-store.ts
+++ b/control/program/src/usage-store.ts
@@ -8,7 +8,7 @@
 import { messageOf } from '@gullwall/core.error'
 import { usageCountSchema } from '@gullwall/transport.messages'
 import { type ControlServices } from './index.ts'
-import { PacedAction } from './paced-action.ts'
+import { ThrottledAction } from './throttled-action.ts'
 
 const FILE = 'usage'
 /** The file is written so often at most, in ms. With what entries have not told yet it is what a kill of all loses. */
@@ -23,12 +23,12 @@
 export interface UsageStoreOptions {
   services: Pick<ControlServices, 'disk' | 'logger'>
   /** What is to be kept now. */
-  take: () => SourceWindow[]
+  takeSnapshot: () => SourceWindow[]
   now?: () => number
 }
 
 export class UsageStore {
-  private readonly saving = new PacedAction(() => this.spacingMs, () => { void this.save() })
+  private readonly saving = new ThrottledAction(() => this.spacingMs, () => { void this.save() })
   private spacingMs = SAVE_SPACING_MS
   private isSaving = false
   private isStopped = false
@@ -48,12 +48,12 @@
       return []
     } finally {
       this.isRead = true
-      if (this.isChanged) this.changed()
+      if (this.isChanged) this.requestSave()
     }
   }
 
   /** Notes that counts have changed. */
-  changed (): void {
+  requestSave (): void {
     this.isChanged = true
     if (this.isRead && !this.isStopped) this.saving.request()
   }
@@ -65,7 +65,7 @@
 
   private async save (): Promise<void> {
     if (this.isSaving) {
-      this.changed()
+      this.requestSave()
       return
     }
     this.isSaving = true
@@ -73,16 +73,16 @@
       await writeChecked(this.options.services.disk, FILE, this.textOf())
     } catch (error) {
       this.warn('the counts can\'t be written', error)
-      this.changed()
+      this.requestSave()
     } finally {
       this.isSaving = false
     }
   }
 
   private textOf (): string {
-    const { take, now = () => performance.now() } = this.options
+    const { takeSnapshot, now = () => performance.now() } = this.options
     const beganAt = now()
-    const text = JSON.stringify(take())
+    const text = JSON.stringify(takeSnapshot())
     this.spacingMs = Math.min(MAX_SAVE_SPACING_MS, Math.max(SAVE_SPACING_MS, (now() - beganAt) / SAVE_SHARE))
     return text
   }
--- a/control/program/src/applied-here.ts
+++ b/control/program/src/wait-until-applied.ts
@@ -6,7 +6,7 @@
 const APPLY_TIMEOUT_MS = 700
 
 /** @throws ERR_GULLWALL_NO_QUORUM if it is not applied in time */
-export async function appliedHere (store: RevisionStore, revision: number, step: string): Promise<void> {
+export async function waitUntilApplied (store: RevisionStore, revision: number, step: string): Promise<void> {
   if (store.revision >= revision) return
   await new Promise<void>((resolve, reject) => {
     const done = () => {
--- a/control/program/test/relay.test.ts
+++ b/control/program/test/control-links.test.ts
@@ -147,11 +147,11 @@
   const { near, far, entries } = await twoDataCentres()
   const lease = { incarnation: 'i-1', service: 's', address: '127.0.0.1:1', dataCentre: 'dc1', slots: 1, state: 'ready', ageMs: 0 } as const
   const registrar = running.get(near)?.get('registrar')
-  await registrar?.hear({ ...lease, sequence: 1 })
+  await registrar?.receiveHeartbeat({ ...lease, sequence: 1 })
   await until('the lease is known', () => entries.every((entry) => entry.received.some(({ message }) => (
     message.kind === 'leases' && message.leases.some(({ sequence }) => sequence === 1)
   ))))
-  await registrar?.hear({ ...lease, sequence: 2 })
+  await registrar?.receiveHeartbeat({ ...lease, sequence: 2 })
   const toldOfRefresh = (entry: Entry | undefined) => entry?.received.filter(({ message }) => (
     message.kind === 'leases' && message.leases.some(({ sequence }) => sequence === 2)
   )).map(({ from }) => from)
@@ -180,7 +180,7 @@
   const knows = (entry: Entry, entriesTold: number) => entry.received.some(({ message }) => message.kind === 'controls' && message.entries === entriesTold)
   await until('all are counted', () => entries.every((entry) => knows(entry, 20)))
   const lease = { service: 's', address: '127.0.0.1:1', dataCentre: 'dc1', slots: 1, state: 'ready', ageMs: 0, sequence: 1 } as const
-  for (let index = 0; index < 50; index += 1) void control.get('registrar').hear({ ...lease, incarnation: `i-${index}` })
+  for (let index = 0; index < 50; index += 1) void control.get('registrar').receiveHeartbeat({ ...lease, incarnation: `i-${index}` })
   const leasesAt = (entry: Entry) => entry.received.flatMap(({ message }) => message.kind === 'leases' && message.leases.length > 0 ? [message] : [])
   await until('all leases', () => entries.every((entry) => leasesAt(entry).flatMap(({ leases }) => leases).length === 50))
   const elapsedMs = performance.now() - startedAt
--- a/control/program/test/crash-judge.test.ts
+++ b/control/program/test/crash-evaluator.test.ts
@@ -1,7 +1,7 @@
 import { beforeEach, describe, expect, it } from 'vitest'
 import { ControlState, heldRequestsIn, type Command, type QuarantineResult } from '@gullwall/control.state'
 import { type LogRecord } from '@gullwall/core.logger'
-import { CrashJudge } from '../src/crash-judge.ts'
+import { CrashEvaluator } from '../src/crash-evaluator.ts'
 
 const HELD_MS = 60_000
 const KEPT_MS = 20_000
@@ -10,7 +10,7 @@
   let now: number
   let role: 'leader' | 'follower'
   let state: ControlState
-  let judge: CrashJudge
+  let judge: CrashEvaluator
   let lines: LogRecord[]
   let proposed: Command[]
 
@@ -23,23 +23,23 @@
     judge = judgeOf(state)
   })
 
-  function judgeOf (of: ControlState): CrashJudge {
+  function judgeOf (of: ControlState): CrashEvaluator {
     const quarantine = async (command: Command) => {
       proposed.push(command)
       return JSON.parse(of.apply(0, JSON.stringify(command))) as QuarantineResult
     }
     const logger = { info: (line: LogRecord) => lines.push(line), warn: (line: LogRecord) => lines.push(line) }
     const quorum = { get role () { return role } }
-    const services = { state: of, quorum, proposer: { quarantine }, logger }
-    return new CrashJudge(services as never, { crashKeptMs: KEPT_MS, heldMs: HELD_MS, now: () => now })
+    const services = { state: of, quorum, proposer: { applyQuarantineCommand: quarantine }, logger }
+    return new CrashEvaluator(services as never, { crashRetentionMs: KEPT_MS, quarantineMs: HELD_MS, now: () => now })
   }
 
   async function pass (ms: number, of = judge): Promise<void> {
-    for (const end = now + ms; now < end; now += 50) await of.look()
+    for (const end = now + ms; now < end; now += 50) await of.runDueCommands()
   }
 
   const tell = async (endpoint: string, ...requests: string[]) => {
-    await judge.note({ kind: 'crashes', crashes: [{ endpoint, requests }], ranWell: [] })
+    await judge.recordCrashes({ kind: 'crashes', crashes: [{ endpoint, requests }], ranWell: [] })
   }
 
   const held = (of = state) => [...heldRequestsIn(of.records)]
@@ -102,7 +102,7 @@
 
   it('let a request go that has run well after all', async () => {
     await holdOne()
-    await judge.note({ kind: 'crashes', crashes: [], ranWell: ['a'] })
+    await judge.recordCrashes({ kind: 'crashes', crashes: [], ranWell: ['a'] })
     expect(held()).toEqual([])
   })
 
--- a/control/program/test/evacuations.test.ts
+++ b/control/program/test/evacuations.test.ts
@@ -13,16 +13,16 @@
 /** Leaders stay through the pauses of a machine that other tests share, unless a test takes them away. In ms. */
 const ELECTION_MS = 1500
 
-const waiting: OrderCaller = { hasLeft: false, leftBefore: async () => false }
-const gone: OrderCaller = { hasLeft: true, leftBefore: async () => true }
+const waiting: OrderCaller = { isDisconnected: false, wasDisconnectedBefore: async () => false }
+const gone: OrderCaller = { isDisconnected: true, wasDisconnectedBefore: async () => true }
 
 /** A caller whose order stands still in its process until the test lets it go on. */
 class HeldCaller implements OrderCaller {
-  hasLeft = false
+  isDisconnected = false
   goOn!: () => void
   private readonly held = new Promise<void>((resolve) => { this.goOn = resolve })
 
-  async leftBefore (): Promise<boolean> {
+  async wasDisconnectedBefore (): Promise<boolean> {
     await this.held
     return false
   }
@@ -232,7 +232,7 @@
     const slow = orderOf(stays)
     await orderAt(first, true)
     const { epoch } = await orderAt(second, false)
-    left.hasLeft = true
+    left.isDisconnected = true
     left.goOn()
     await expect(late).rejects.toMatchObject({ code: 'ERR_GULLWALL_OVERTAKEN' })
     await untilEverywhere(epoch)
@@ -270,7 +270,7 @@
   await order(control, true)
   const large = JSON.stringify({ match: 'x'.repeat(9 * 1024 * 1024) })
   const changes = [{ key: 'selector/large', value: large }]
-  await control.get('proposer').apply({ type: 'apply', operationId: 'large', expectedRevision: null, changes, operator: 'test', at: '' })
+  await control.get('proposer').applyOperation({ type: 'apply', operationId: 'large', expectedRevision: null, changes, operator: 'test', at: '' })
   await until('a snapshot', () => control.get('quorum').status().snapshotIndex > 0)
   await order(control, false)
   await control.get('evacuations').order({ dataCentre: 'dc3', isEvacuated: true, caller: waiting })
@@ -291,6 +291,6 @@
   await expect(orderOf('dc9')).rejects.toMatchObject({ code: 'ERR_GULLWALL_NO_SUCH_DATA_CENTRE', message: expect.stringContaining('dc9') })
   await expect(orderOf('dc2')).resolves.toMatchObject({ isTaken: true })
   const lease = { incarnation: 'i-9', service: 's', address: '127.0.0.1:1', dataCentre: 'dc9', slots: 1, state: 'ready', sequence: 1, ageMs: 0 } as const
-  await control.get('registrar').hear(lease)
+  await control.get('registrar').receiveHeartbeat(lease)
   await expect(orderOf('dc9')).resolves.toMatchObject({ isTaken: true })
 })
--- a/control/program/test/grant-model.ts
+++ b/control/program/test/grant-simulation.ts
@@ -2,28 +2,28 @@
  * A model of everything that is asked, granted and sent for one cold endpoint: control processes of which one leads, boxes that
  * ask them, messages that take any time or are lost, clocks that run unevenly, and processes that start again.
  */
-import { GrantPurse } from '../../../entry/gateway/src/grant-purse.ts'
-import { GrantDuty } from '../src/grant-duty.ts'
+import { GrantPool } from '../../../entry/gateway/src/grant-pool.ts'
+import { LeasedGrantLedger } from '../src/leased-grant-ledger.ts'
 import { type GrantBound, type GrantLedger } from '../src/grant-ledger.ts'
 
 const ENDPOINT = 'i-cold'
 
 /** When a box uses a grant, as shares of the time that it has for it: to dispatch the requests, and then to connect. */
-export interface Use {
+export interface GrantUse {
   dispatchShare: number
   connectShare: number
 }
 
 /** What happens, each `afterMs` after the step before it, by a clock that none of the processes has. */
 export type Step = { afterMs: number } & (
-  | { type: 'ask', box: number, control: number, requests: number, thereMs: number, backMs: number, isLost: boolean, use: Use }
+  | { type: 'ask', box: number, control: number, requests: number, thereMs: number, backMs: number, isLost: boolean, use: GrantUse }
   | { type: 'elect', control: number, tellsOld: boolean }
   | { type: 'restartBox', box: number }
   | { type: 'restartControl', control: number }
   | { type: 'observe', control: number }
 )
 
-export interface ModelOptions {
+export interface SimulationOptions {
   bound: GrantBound
   /** How fast the clocks run, in the order of the control processes and then of the boxes. */
   rates: readonly number[]
@@ -44,7 +44,7 @@
 const CONTROLS = 3
 export const BOXES = 4
 
-export class GrantModel {
+export class GrantSimulation {
   /** When requests were sent to the endpoint. */
   readonly sentAt: number[] = []
   granted = 0
@@ -52,17 +52,17 @@
   private term = 0
   private leader: number | undefined
   private readonly believed: Array<number | undefined> = Array.from({ length: CONTROLS }, () => undefined)
-  private readonly duties: GrantDuty[]
-  private readonly purses: GrantPurse[]
+  private readonly duties: LeasedGrantLedger[]
+  private readonly purses: GrantPool[]
   private readonly starts = Array.from({ length: BOXES }, () => 0)
   private events: Event[] = []
 
-  constructor (private readonly options: ModelOptions) {
+  constructor (private readonly options: SimulationOptions) {
     this.duties = this.believed.map((_unused, control) => this.newDuty(control))
-    this.purses = this.starts.map(() => new GrantPurse())
+    this.purses = this.starts.map(() => new GrantPool())
   }
 
-  async play (steps: readonly Step[]): Promise<void> {
+  async run (steps: readonly Step[]): Promise<void> {
     let at = 0
     for (const step of steps) {
       at += step.afterMs
@@ -77,7 +77,7 @@
   }
 
   /** The most requests that were sent within any window. */
-  get most (): number {
+  get maxSentInWindow (): number {
     const sorted = this.sentAt.toSorted((left, right) => left - right)
     let most = 0
     let first = 0
@@ -92,9 +92,9 @@
     switch (step.type) {
       case 'ask': this.ask(step); break
       case 'elect': this.elect(step); break
-      case 'observe': this.duties[step.control]?.observe(); break
+      case 'observe': this.duties[step.control]?.observeTerm(); break
       case 'restartBox':
-        this.purses[step.box] = new GrantPurse()
+        this.purses[step.box] = new GrantPool()
         this.starts[step.box] = (this.starts[step.box] as number) + 1
         break
       case 'restartControl':
@@ -109,7 +109,7 @@
     const askedAt = this.boxTime(box)
     const start = this.starts[box]
     this.after(thereMs, async () => {
-      const ledger = await this.duties[control]?.held()
+      const ledger = await this.duties[control]?.acquire()
       const wish = { incarnation: ENDPOINT, box: String(box), requests, bounds: [this.options.bound] }
       const grant = ledger?.grant(wish, this.controlTime(control))
       if (grant === undefined || grant.requests === 0) return
@@ -128,9 +128,9 @@
     })
   }
 
-  private send (box: number, requests: number, { connectShare }: Use): void {
-    for (let count = 0; count < requests && this.purses[box]?.take(ENDPOINT, this.boxTime(box)) === true; count += 1) {
-      this.after(connectShare * this.options.bound.sentWithinMs / this.boxRate(box), () => { this.sentAt.push(this.time) })
+  private send (box: number, requests: number, { connectShare }: GrantUse): void {
+    for (let count = 0; count < requests && this.purses[box]?.tryTake(ENDPOINT, this.boxTime(box)) === true; count += 1) {
+      this.after(connectShare * this.options.bound.maxSendDelayMs / this.boxRate(box), () => { this.sentAt.push(this.time) })
     }
   }
 
@@ -142,13 +142,13 @@
     this.believed[control] = this.term
   }
 
-  private newDuty (control: number): GrantDuty {
+  private newDuty (control: number): LeasedGrantLedger {
     const { newLedger, leaseMs, neverConfirms } = this.options
-    return new GrantDuty({
-      newLedger,
+    return new LeasedGrantLedger({
+      createLedger: newLedger,
       leaseMs,
       leadingTerm: () => this.believed[control],
-      confirm: async () => { if (this.leader !== control && neverConfirms !== true) throw new Error('another one leads') },
+      confirmLeadership: async () => { if (this.leader !== control && neverConfirms !== true) throw new Error('another one leads') },
       now: () => this.controlTime(control)
     })
   }
--- a/control/program/test/granter.test.ts
+++ b/control/program/test/granter.test.ts
@@ -2,9 +2,9 @@
 import { freeAddresses, until } from '@gullwall/bench.deployment'
 import { createLogger } from '@gullwall/core.logger'
 import { Dialer, type Link } from '@gullwall/transport.link'
-import { type Grant, type GrantWish } from '@gullwall/transport.messages'
-import { coldBound } from '../src/granter.ts'
-import { GRANT_USE_MS, MAX_GRANT } from '../src/grant-ledger.ts'
+import { type Grant, type GrantRequest } from '@gullwall/transport.messages'
+import { computeColdBound } from '../src/granter.ts'
+import { COLD_GRANT_VALID_MS, COLD_MAX_REQUESTS_PER_GRANT } from '../src/grant-ledger.ts'
 import { running, start, stopAll, type Control } from './control-processes.ts'
 
 const ANSWER_MS = 2000
@@ -43,9 +43,9 @@
   return dialer.link as Link
 }
 
-const wishFor = (incarnation: string, service = 'lm'): GrantWish => ({ incarnation, service, requests: MAX_GRANT })
+const wishFor = (incarnation: string, service = 'lm'): GrantRequest => ({ incarnation, service, requests: COLD_MAX_REQUESTS_PER_GRANT })
 
-async function ask (link: Link, wishes: GrantWish[]): Promise<Grant[]> {
+async function ask (link: Link, wishes: GrantRequest[]): Promise<Grant[]> {
   return (await link.request({ kind: 'coldAsk', entry: 'entry', wishes }, 'coldGranted', ANSWER_MS)).grants
 }
 
@@ -65,14 +65,14 @@
 
 describe('the bound of a cold endpoint', () => {
   it('is what the service bears by what the deployment allows, in whole requests', () => {
-    expect(coldBound({ perSecond: 11 }, { overrun: 1.5, slack: 5 })).toBe(BOUND)
-    expect(coldBound({ perSecond: 11 })).toBe(11)
-    expect(coldBound({ perSecond: 0.5 })).toBe(0)
+    expect(computeColdBound({ perSecond: 11 }, { overrun: 1.5, slack: 5 })).toBe(BOUND)
+    expect(computeColdBound({ perSecond: 11 })).toBe(11)
+    expect(computeColdBound({ perSecond: 0.5 })).toBe(0)
   })
 })
 
 /** Asks until the leader answers: on a busy machine its lease may have run out for a moment, and then it grants nothing. */
-async function askUntilAnswered (link: Link, wishes: GrantWish[]): Promise<Grant[]> {
+async function askUntilAnswered (link: Link, wishes: GrantRequest[]): Promise<Grant[]> {
   let grants: Grant[] | undefined
   await until('an answer', async () => {
     grants = await ask(link, wishes).catch(() => undefined)
@@ -93,9 +93,9 @@
       grants = await askUntilAnswered(follower, [wishFor('a')])
       return (grants[0]?.requests ?? 0) > 0
     })
-    expect(grants).toEqual([{ incarnation: 'a', requests: MAX_GRANT, withinMs: GRANT_USE_MS }])
+    expect(grants).toEqual([{ incarnation: 'a', requests: COLD_MAX_REQUESTS_PER_GRANT, withinMs: COLD_GRANT_VALID_MS }])
     const all = (await Promise.all(links.map(async (link) => await askUntilAnswered(link, [wishFor('a'), wishFor('a')])))).flat()
-    const granted = all.reduce((sum, { requests }) => sum + requests, MAX_GRANT)
+    const granted = all.reduce((sum, { requests }) => sum + requests, COLD_MAX_REQUESTS_PER_GRANT)
     expect(granted).toBe(Math.ceil(BOUND / 2))
     expect(all.filter(({ requests }) => requests === 0).every(({ withinMs }) => withinMs > 0)).toBe(true)
     // Nothing is granted of a service whose document has no such limit.
@@ -105,7 +105,7 @@
   it('are not given by a process that is asked by a peer but does not lead', async () => {
     const { followers } = await threeProcesses()
     const granter = (followers[0] as Control).get('granter')
-    const asked = granter.answer({ kind: 'coldAsk', entry: 'entry', wishes: [wishFor('a')] }, { isForwarded: true })
+    const asked = granter.handleRequest({ kind: 'coldAsk', entry: 'entry', wishes: [wishFor('a')] }, { isForwarded: true })
     await expect(asked).rejects.toMatchObject({ code: 'ERR_GULLWALL_NOT_LEADER' })
   }, 20_000)
 
--- a/control/program/test/grants.fuzz.test.ts
+++ b/control/program/test/grants.fuzz.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest'
 import fc from 'fast-check'
-import { GRANT_LEASE_MS } from '../src/grant-duty.ts'
-import { coldGrantBound, GrantLedger, GRANT_USE_MS, limitGrantBound, SPAN_MS, spanOf, WINDOW_MS, type GrantBound } from '../src/grant-ledger.ts'
-import { BOXES, GrantModel, type ModelOptions, type Step, type Use } from './grant-model.ts'
+import { GRANT_LEASE_MS } from '../src/leased-grant-ledger.ts'
+import { createColdGrantBound, GrantLedger, COLD_GRANT_VALID_MS, createLimitGrantBound, COLD_ACCOUNTING_WINDOW_MS, computeAccountingWindowMs, COLD_WINDOW_MS, type GrantBound } from '../src/grant-ledger.ts'
+import { BOXES, GrantSimulation, type SimulationOptions, type Step, type GrantUse } from './grant-simulation.ts'
 
 const SEED = Number(process.env['FUZZ_SEED'] ?? 20_262)
 const RUNS = Number(process.env['FUZZ_RUNS'] ?? 100)
@@ -30,7 +30,7 @@
 )
 /** Sending as late as it goes and then at once comes nearest to the bound. */
 const share = fc.oneof(fc.constant(0), fc.constant(1), fc.constant(1), fc.double({ min: 0, max: 1, noNaN: true }))
-const use: fc.Arbitrary<Use> = fc.record({ dispatchShare: share, connectShare: share })
+const use: fc.Arbitrary<GrantUse> = fc.record({ dispatchShare: share, connectShare: share })
 /** For a while all boxes use their grants alike. */
 const phase = fc.record({ use, asks: fc.array(ask, { minLength: 20, maxLength: 80, size: 'max' }), last: fc.option(other, { freq: 3 }) })
   .map(({ use, asks, last }): Step[] => [...asks.map((step): Step => ({ ...step, use })), ...(last === null ? [] : [last])])
@@ -49,11 +49,11 @@
     let granted = 0
     let most = 0
     await fc.assert(fc.asyncProperty(plays, rates, async (steps, clocks) => {
-      const model = new GrantModel({ bound: coldGrantBound(BOUND), rates: clocks })
-      await model.play(steps)
+      const model = new GrantSimulation({ bound: createColdGrantBound(BOUND), rates: clocks })
+      await model.run(steps)
       granted += model.granted
-      most = Math.max(most, model.most)
-      expect(model.most).toBeLessThanOrEqual(BOUND)
+      most = Math.max(most, model.maxSentInWindow)
+      expect(model.maxSentInWindow).toBeLessThanOrEqual(BOUND)
     }), { seed: SEED, numRuns: RUNS })
     console.log(`seed ${SEED}: ${granted} granted, at most ${most} of ${BOUND} sent within a second`)
     // A model that comes nowhere near the bound would show nothing.
@@ -62,31 +62,37 @@
 
   it.each([
     ['a leader that does not wait for what the one before has granted', {
-      leaseMs: 1, newLedger: (now: number) => new GrantLedger({ opensAt: now, settleMs: 0 })
+      leaseMs: 1, newLedger: (now: number) => new GrantLedger({ startsAt: now, initialDelayMs: 0 })
     }],
     ['a leader that does not have its lease confirmed', { neverConfirms: true }],
     ['a ledger that forgets a grant after the window', {
-      newLedger: (now: number) => new GrantLedger({ opensAt: now + 2 * SPAN_MS, spanOf: () => WINDOW_MS })
+      newLedger: (now: number) => new GrantLedger({
+        startsAt: now + 2 * COLD_ACCOUNTING_WINDOW_MS,
+        computeAccountingWindowMs: () => COLD_WINDOW_MS
+      })
     }],
     ['a ledger that forgets that grants are used late', {
-      newLedger: (now: number) => new GrantLedger({ opensAt: now + 2 * SPAN_MS, spanOf: () => SPAN_MS - GRANT_USE_MS })
+      newLedger: (now: number) => new GrantLedger({
+        startsAt: now + 2 * COLD_ACCOUNTING_WINDOW_MS,
+        computeAccountingWindowMs: () => COLD_ACCOUNTING_WINDOW_MS - COLD_GRANT_VALID_MS
+      })
     }],
     ['a box that counts the time of a grant from its answer', { countsFromAnswer: true }]
-  ])('would exceed it with %s', async (_name, mistake: Partial<ModelOptions>) => {
+  ])('would exceed it with %s', async (_name, mistake: Partial<SimulationOptions>) => {
     const run = await fc.check(fc.asyncProperty(plays, rates, async (steps, clocks) => {
-      const model = new GrantModel({ bound: coldGrantBound(BOUND), rates: clocks, ...mistake })
-      await model.play(steps)
-      return model.most <= BOUND
+      const model = new GrantSimulation({ bound: createColdGrantBound(BOUND), rates: clocks, ...mistake })
+      await model.run(steps)
+      return model.maxSentInWindow <= BOUND
     }), { seed: SEED, numRuns: Math.max(RUNS, 200), endOnFailure: true })
     expect(run.failed).toBe(true)
   }, LONG_MS)
 })
 
 describe('grants to an endpoint that has named a limit', () => {
-  const limited = (perSecond: number) => limitGrantBound(perSecond) as GrantBound
+  const limited = (perSecond: number) => createLimitGrantBound(perSecond) as GrantBound
   /** As much happens within a window of the bound as within one of a cold endpoint, and requests are there for all that it allows. */
   const stretched = ({ windowMs, requests: most }: GrantBound) => plays.map((steps) => steps.map((step): Step => {
-    const afterMs = step.afterMs * windowMs / WINDOW_MS
+    const afterMs = step.afterMs * windowMs / COLD_WINDOW_MS
     return step.type === 'ask' ? { ...step, afterMs, requests: Math.max(step.requests, most) } : { ...step, afterMs }
   }))
 
@@ -95,11 +101,11 @@
     let granted = 0
     let most = 0
     await fc.assert(fc.asyncProperty(stretched(bound), rates, async (steps, clocks) => {
-      const model = new GrantModel({ bound, rates: clocks })
-      await model.play(steps)
+      const model = new GrantSimulation({ bound, rates: clocks })
+      await model.run(steps)
       granted += model.granted
-      most = Math.max(most, model.most)
-      expect(model.most).toBeLessThanOrEqual(bound.requests)
+      most = Math.max(most, model.maxSentInWindow)
+      expect(model.maxSentInWindow).toBeLessThanOrEqual(bound.requests)
     }), { seed: SEED, numRuns: RUNS })
     console.log(`seed ${SEED}: ${granted} granted, at most ${most} of ${bound.requests} sent within ${Math.round(bound.windowMs)} ms`)
     // A model that comes nowhere near the bound would show nothing.
@@ -107,18 +113,21 @@
   }, LONG_MS)
 
   it.each([
-    ['a leader that does not wait for what the one before has granted', { leaseMs: 1, newLedger: (now: number) => new GrantLedger({ opensAt: now - spanOf(limited(1)), settleMs: 0 }) }],
+    ['a leader that does not wait for what the one before has granted', { leaseMs: 1, newLedger: (now: number) => new GrantLedger({ startsAt: now - computeAccountingWindowMs(limited(1)), initialDelayMs: 0 }) }],
     ['a leader that does not have its lease confirmed', { neverConfirms: true }],
     ['a ledger that forgets that grants are used late', {
-      newLedger: (now: number) => new GrantLedger({ opensAt: now + GRANT_LEASE_MS + SPAN_MS, spanOf: ({ windowMs }) => windowMs })
+      newLedger: (now: number) => new GrantLedger({
+        startsAt: now + GRANT_LEASE_MS + COLD_ACCOUNTING_WINDOW_MS,
+        computeAccountingWindowMs: ({ windowMs }) => windowMs
+      })
     }],
     ['a box that counts the time of a grant from its answer', { countsFromAnswer: true }]
-  ])('would let more with %s', async (_name, mistake: Partial<ModelOptions>) => {
+  ])('would let more with %s', async (_name, mistake: Partial<SimulationOptions>) => {
     const bound = limited(1)
     const run = await fc.check(fc.asyncProperty(stretched(bound), rates, async (steps, clocks) => {
-      const model = new GrantModel({ bound, rates: clocks, ...mistake })
-      await model.play(steps)
-      return model.most <= bound.requests
+      const model = new GrantSimulation({ bound, rates: clocks, ...mistake })
+      await model.run(steps)
+      return model.maxSentInWindow <= bound.requests
     }), { seed: SEED, numRuns: Math.max(RUNS, 200), endOnFailure: true })
     expect(run.failed).toBe(true)
   }, LONG_MS)
--- a/control/program/test/joining.test.ts
+++ b/control/program/test/joining.test.ts
@@ -140,13 +140,13 @@
     const { addresses } = await five()
     const lease = { incarnation: 'i-1', service: 's', address: '127.0.0.1:1', dataCentre: 'dc1', slots: 1, ageMs: 0 }
     const last = running.get(addresses[4] ?? '') as Control
-    await last.get('registrar').hear({ ...lease, state: 'ready', sequence: 1 })
-    await last.get('registrar').hear({ ...lease, state: 'draining', sequence: 2 })
+    await last.get('registrar').receiveHeartbeat({ ...lease, state: 'ready', sequence: 1 })
+    await last.get('registrar').receiveHeartbeat({ ...lease, state: 'draining', sequence: 2 })
     await until('a majority', () => [...running.values()].filter((control) => control.get('leases').get('i-1')?.state === 'draining').length >= 3)
     for (const address of addresses.slice(0, 3)) {
       await running.get(address)?.stop()
       running.delete(address)
     }
-    await expect(last.get('registrar').hear({ ...lease, state: 'gone', sequence: 3 })).rejects.toMatchObject({ code: 'ERR_GULLWALL_NO_QUORUM' })
+    await expect(last.get('registrar').receiveHeartbeat({ ...lease, state: 'gone', sequence: 3 })).rejects.toMatchObject({ code: 'ERR_GULLWALL_NO_QUORUM' })
   })
 })
--- a/control/program/test/duty-lease.fuzz.test.ts
+++ b/control/program/test/leader-lease.fuzz.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import fc from 'fast-check'
-import { DutyLease, type Fence } from '../src/duty-lease.ts'
+import { LeaderLease, type AcquiredLease } from '../src/leader-lease.ts'
 
 const LEASE_MS = 3000
 const SEED = Number(process.env['FUZZ_SEED'] ?? 20_261)
@@ -20,13 +20,13 @@
   private leader = -1
   private readonly believed: Array<number | undefined> = [undefined, undefined, undefined]
   private readonly frozen = new Set<number>()
-  private readonly leases: DutyLease[]
+  private readonly leases: LeaderLease[]
 
   constructor () {
-    this.leases = this.believed.map((_unused, process) => new DutyLease({
+    this.leases = this.believed.map((_unused, process) => new LeaderLease({
       leaseMs: LEASE_MS,
       leadingTerm: () => this.believed[process],
-      confirm: async () => { if (process !== this.leader) throw new Error('another one leads') },
+      confirmLeadership: async () => { if (process !== this.leader) throw new Error('another one leads') },
       now: () => this.now
     }))
   }
@@ -46,8 +46,8 @@
   /** Acquires the lease, lets time pass, and acts if the lease still holds. */
   async act (process: number, waitMs: number): Promise<void> {
     if (this.frozen.has(process)) return
-    const lease = this.leases[process] as DutyLease
-    const fence: Fence | undefined = await lease.acquire()
+    const lease = this.leases[process] as LeaderLease
+    const fence: AcquiredLease | undefined = await lease.acquire()
     this.now += waitMs
     if (fence === undefined || this.frozen.has(process) || !lease.isValid(fence)) return
     this.acts.push({ process, token: fence.token, at: this.now })
@@ -90,25 +90,27 @@
 
   it('does not act on a lease from before it was suspended, nor wait less for having been', async () => {
     let [now, slept] = [0, 0]
-    const lease = new DutyLease({ leaseMs: LEASE_MS, leadingTerm: () => 4, confirm: async () => {}, now: () => now, slept: () => slept })
+    const lease = new LeaderLease(
+      { leaseMs: LEASE_MS, leadingTerm: () => 4, confirmLeadership: async () => {}, now: () => now, suspendedMs: () => slept }
+    )
     expect(await lease.acquire()).toBeUndefined()
     slept = 5 * LEASE_MS
     expect(await lease.acquire()).toBeUndefined()
     now = LEASE_MS
-    const fence = await lease.acquire() as Fence
+    const fence = await lease.acquire() as AcquiredLease
     expect(lease.isValid(fence)).toBe(true)
     slept += LEASE_MS
     expect(lease.isValid(fence)).toBe(false)
-    expect(lease.isValid(await lease.acquire() as Fence)).toBe(true)
+    expect(lease.isValid(await lease.acquire() as AcquiredLease)).toBe(true)
   })
 
   it('is given up for good in a term whose token was refused', async () => {
     let now = 0
-    const lease = new DutyLease({ leaseMs: LEASE_MS, leadingTerm: () => 4, confirm: async () => {}, now: () => now })
+    const lease = new LeaderLease({ leaseMs: LEASE_MS, leadingTerm: () => 4, confirmLeadership: async () => {}, now: () => now })
     expect(await lease.acquire()).toBeUndefined()
     now = LEASE_MS
-    expect(await lease.acquire()).toEqual({ token: 4, validUntil: 1.5 * LEASE_MS, sleptMs: 0 })
-    lease.noteRefused(4)
+    expect(await lease.acquire()).toEqual({ token: 4, validUntil: 1.5 * LEASE_MS, suspendedMsAtAcquire: 0 })
+    lease.recordRefusedToken(4)
     expect(await lease.acquire()).toBeUndefined()
   })
 })
--- a/control/program/test/lease-store.test.ts
+++ b/control/program/test/lease-store.test.ts
@@ -21,7 +21,7 @@
   it('are known again right after a restart, before any heartbeat, and those that left have left', async () => {
     const disk = new MemoryDisk()
     const first = await startOn(disk)
-    await first.get('registrar').hear(lease)
+    await first.get('registrar').receiveHeartbeat(lease)
     first.get('leases').merge([{ ...lease, incarnation: 'i-2', state: 'gone' }])
     await until('both are written', async () => (await readChecked(disk, 'leases'))?.includes('gone') === true)
     await stop(first)
@@ -42,7 +42,7 @@
       }
       await replace(name, data)
     }
-    await control.get('registrar').hear(lease)
+    await control.get('registrar').receiveHeartbeat(lease)
     await until('they are written', async () => (await readChecked(disk, 'leases'))?.includes('i-1') === true)
     expect(refusals).toBe(1)
   })
--- a/control/program/test/work-relay.test.ts
+++ b/control/program/test/load-relay.test.ts
@@ -1,8 +1,8 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
 import { type Link } from '@gullwall/transport.link'
 import { type Message, type MessageOf, type Reading } from '@gullwall/transport.messages'
-import { Nearness } from '../src/nearness.ts'
-import { WorkRelay } from '../src/work-relay.ts'
+import { Proximity } from '../src/proximity.ts'
+import { LoadRelay } from '../src/load-relay.ts'
 
 const ENTRIES = 60
 /** Longer than the time within which changes are told together, in ms. */
@@ -30,9 +30,9 @@
 
 const REGIONS = { dc1: 'north', dc2: 'north', dc9: 'south' }
 
-function relayWith (links: readonly FakeLink[]): WorkRelay {
+function relayWith (links: readonly FakeLink[]): LoadRelay {
   const peers = { links: () => links.map(({ asLink }) => asLink) }
-  return new WorkRelay({ peers: peers as never, nearness: new Nearness({ settings: { dataCentre: 'dc1', member: 'c1', regions: REGIONS }, peers }) })
+  return new LoadRelay({ peers: peers as never, proximity: new Proximity({ settings: { dataCentre: 'dc1', member: 'c1', regions: REGIONS }, peers }) })
 }
 
 function workAt (incarnation: string): MessageOf<'work'> {
@@ -41,7 +41,7 @@
 
 describe('what an entry hears of the others', () => {
   const peer = new FakeLink('control-2', 'control')
-  let relay: WorkRelay
+  let relay: LoadRelay
   let entries: FakeLink[]
 
   beforeEach(() => {
@@ -50,7 +50,7 @@
     relay = relayWith([peer])
     relay.start()
     entries = Array.from({ length: ENTRIES }, (_unused, index) => new FakeLink(`entry-${index}`))
-    for (const entry of entries) relay.fromEntry(entry.asLink, { ...workAt('i-0'), works: [] })
+    for (const entry of entries) relay.receiveFromEntry(entry.asLink, { ...workAt('i-0'), works: [] })
     for (const entry of entries) entry.told.length = 0
   })
 
@@ -60,7 +60,7 @@
   })
 
   it('does not grow with their number: what they tell at about the same time comes as one word', () => {
-    for (const entry of entries) relay.fromEntry(entry.asLink, workAt('i-1'))
+    for (const entry of entries) relay.receiveFromEntry(entry.asLink, workAt('i-1'))
     vi.advanceTimersByTime(AFTER_SPACING_MS)
     for (const entry of entries) {
       expect(entry.told.map(({ works }) => works)).toEqual([[{ incarnation: 'i-1', unread: [], running: ENTRIES - 1, strain: 0, sensitive: 0, unreachable: 0 }]])
@@ -70,10 +70,10 @@
 
   it('comes at once after a pause, and then within the spacing', () => {
     vi.advanceTimersByTime(AFTER_SPACING_MS)
-    relay.fromEntry((entries[0] as FakeLink).asLink, workAt('i-1'))
+    relay.receiveFromEntry((entries[0] as FakeLink).asLink, workAt('i-1'))
     vi.advanceTimersByTime(1)
     expect(entries[1]?.told).toHaveLength(1)
-    relay.fromEntry((entries[2] as FakeLink).asLink, workAt('i-1'))
+    relay.receiveFromEntry((entries[2] as FakeLink).asLink, workAt('i-1'))
     vi.advanceTimersByTime(1)
     expect(entries[1]?.told).toHaveLength(1)
     vi.advanceTimersByTime(AFTER_SPACING_MS)
@@ -81,13 +81,13 @@
   })
 
   it('tells from how many peers its control process hears, and of none that has fallen silent', () => {
-    relay.fromPeer(peer.asLink, { kind: 'workSums', whole: true, peers: 0, works: [], holdings: [] })
-    relay.fromEntry((entries[0] as FakeLink).asLink, workAt('i-1'))
+    relay.receiveFromPeer(peer.asLink, { kind: 'workSums', whole: true, peers: 0, works: [], holdings: [] })
+    relay.receiveFromEntry((entries[0] as FakeLink).asLink, workAt('i-1'))
     vi.advanceTimersByTime(AFTER_SPACING_MS)
     expect(entries[1]?.told.at(-1)?.peers).toBe(1)
     for (let second = 0; second < 4; second += 1) {
       vi.advanceTimersByTime(1000)
-      for (const entry of entries) relay.fromEntry(entry.asLink, { ...workAt('i-0'), works: [] })
+      for (const entry of entries) relay.receiveFromEntry(entry.asLink, { ...workAt('i-0'), works: [] })
     }
     expect(entries[1]?.told.at(-1)?.peers).toBe(0)
     expect(peer.told.length).toBeGreaterThanOrEqual(4)
@@ -96,11 +96,11 @@
   it('crosses to another region rarely, and then all of it in one word', () => {
     const far = new FakeLink('control-9', 'control', 'dc9')
     const both = relayWith([peer, far])
-    for (const entry of entries) both.fromEntry(entry.asLink, { ...workAt('i-0'), works: [] })
+    for (const entry of entries) both.receiveFromEntry(entry.asLink, { ...workAt('i-0'), works: [] })
     vi.advanceTimersByTime(1000)
     far.told.length = 0
     for (let word = 1; word <= 20; word += 1) {
-      both.fromEntry((entries[0] as FakeLink).asLink, workAt(`i-${word}`))
+      both.receiveFromEntry((entries[0] as FakeLink).asLink, workAt(`i-${word}`))
       vi.advanceTimersByTime(50)
     }
     vi.advanceTimersByTime(300)
@@ -115,10 +115,10 @@
   it('is told the sooner the fewer they are', () => {
     const few = relayWith([])
     const [one, two] = [new FakeLink('one'), new FakeLink('two')]
-    for (const entry of [one, two]) few.fromEntry(entry.asLink, { ...workAt('i-0'), works: [] })
+    for (const entry of [one, two]) few.receiveFromEntry(entry.asLink, { ...workAt('i-0'), works: [] })
     one.told.length = 0
     for (let word = 1; word <= 3; word += 1) {
-      few.fromEntry(two.asLink, workAt(`i-${word}`))
+      few.receiveFromEntry(two.asLink, workAt(`i-${word}`))
       vi.advanceTimersByTime(6)
       expect(one.told).toHaveLength(word)
     }
@@ -126,7 +126,7 @@
   })
 
   it('is nothing where only its own work has changed', () => {
-    relay.fromEntry((entries[0] as FakeLink).asLink, workAt('i-1'))
+    relay.receiveFromEntry((entries[0] as FakeLink).asLink, workAt('i-1'))
     vi.advanceTimersByTime(AFTER_SPACING_MS)
     expect(entries[0]?.told).toEqual([])
     expect(entries[1]?.told).toHaveLength(1)
@@ -134,7 +134,7 @@
 
   it('is how an engine reads, once a few of them saw it: none of them needs to meet it often', () => {
     for (const entry of entries.slice(0, 20)) {
-      relay.fromEntry(entry.asLink, { ...workAt('i-1'), observations: [{ incarnation: 'i-1', pauses: [320], reads: [] }] })
+      relay.receiveFromEntry(entry.asLink, { ...workAt('i-1'), observations: [{ incarnation: 'i-1', pauses: [320], reads: [] }] })
     }
     vi.advanceTimersByTime(1000)
     const learnt = entries[50]?.readings.at(-1)
@@ -144,10 +144,10 @@
   })
 
   it('forgets an entry that tells nothing any more, and goes on telling those that do', () => {
-    relay.fromEntry((entries[0] as FakeLink).asLink, workAt('i-1'))
+    relay.receiveFromEntry((entries[0] as FakeLink).asLink, workAt('i-1'))
     for (let second = 0; second < 4; second += 1) {
       vi.advanceTimersByTime(1000)
-      for (const entry of entries.slice(1)) relay.fromEntry(entry.asLink, { ...workAt('i-0'), works: [] })
+      for (const entry of entries.slice(1)) relay.receiveFromEntry(entry.asLink, { ...workAt('i-0'), works: [] })
     }
     vi.advanceTimersByTime(AFTER_SPACING_MS)
     expect(entries[1]?.told.flatMap(({ works }) => works).at(-1)).toMatchObject({ incarnation: 'i-1', running: 0 })
--- a/control/program/test/member-table.test.ts
+++ b/control/program/test/member-table.test.ts
@@ -22,33 +22,33 @@
   const goneTold = (): string[] => told.flatMap(({ gone }) => gone)
 
   it('are told to be gone once their lease here has ended', () => {
-    table.announce(member)
+    table.addLocal(member)
     table.linkClosed(ADDRESS)
     vi.advanceTimersByTime(LONGER_THAN_LEASE_MS)
     expect(goneTold()).toEqual([ADDRESS])
   })
 
   it('are not told to be gone if they have come back through a peer meanwhile', () => {
-    table.announce(member)
+    table.addLocal(member)
     table.linkClosed(ADDRESS)
-    table.learn('c2', present)
+    table.applyPeerChange('c2', present)
     vi.advanceTimersByTime(LONGER_THAN_LEASE_MS)
     expect(goneTold()).toEqual([])
     expect(table.all()).toEqual([member])
   })
 
   it('are not told to be gone by a peer while they are linked here', () => {
-    table.learn('c2', present)
-    table.announce(member)
-    table.learn('c2', { ...present, present: [], gone: [ADDRESS] })
+    table.applyPeerChange('c2', present)
+    table.addLocal(member)
+    table.applyPeerChange('c2', { ...present, present: [], gone: [ADDRESS] })
     expect(goneTold()).toEqual([])
   })
 
   it('are told to peers as they are here, since each peer adds up by itself', () => {
     const local: MemberChange[] = []
     table.onLocalChange((change) => local.push(change))
-    table.announce(member)
-    table.learn('c2', present)
+    table.addLocal(member)
+    table.applyPeerChange('c2', present)
     table.linkClosed(ADDRESS)
     vi.advanceTimersByTime(LONGER_THAN_LEASE_MS)
     expect(local.map(({ present: here, gone }) => [here.length, gone])).toEqual([[1, []], [0, [ADDRESS]]])
--- a/control/program/test/scaling-orderer.test.ts
+++ b/control/program/test/scaling-controller.test.ts
@@ -1,15 +1,15 @@
 import { describe, expect, it } from 'vitest'
 import { type FencedOrder } from '@gullwall/control.program'
-import { LEASE_MS, World } from './scaling-world.ts'
+import { LEASE_MS, ScalingSimulation } from './scaling-simulation.ts'
 
 const HOLD_MS = 60_000
 const LATE_MS = 20_000
 
-const settled = async (world: World): Promise<void> => await world.run(10_000)
+const settled = async (world: ScalingSimulation): Promise<void> => await world.run(10_000)
 
 describe('orders of endpoints', () => {
   it('are one a change, decided before they are sent, and logged with their inputs', async () => {
-    const world = new World()
+    const world = new ScalingSimulation()
     await settled(world)
     expect(world.sink.sent).toEqual([])
     world.running = 30
@@ -22,7 +22,7 @@
   })
 
   it('go on with the same body and a higher token after a change of holder, and none of the old one follows', async () => {
-    const world = new World()
+    const world = new ScalingSimulation()
     await settled(world)
     world.running = 30
     world.sink.answer = () => 'carried out late'
@@ -38,12 +38,12 @@
     expect(later.every(({ holder, token, at }) => holder === 'b' && token === 2 && at >= changedAt + LEASE_MS)).toBe(true)
     expect(later[0]?.desired).toBe(world.sink.sent.filter(({ token }) => token === 1).at(-1)?.desired)
     const desired = world.state.scalingOrders.of('lm', 'dc1')?.desired
-    for (const order of world.sink.late.filter(({ token }) => token === 1)) expect(world.sink.carryOut(order)).toEqual({ type: 'fenced' })
-    expect(world.sink.set.get('lm dc1')).toBe(desired)
+    for (const order of world.sink.lateCalls.filter(({ token }) => token === 1)) expect(world.sink.carryOut(order)).toEqual({ type: 'fenced' })
+    expect(world.sink.desiredCounts.get('lm dc1')).toBe(desired)
   })
 
   it('are sent once more by a new holder though they were answered, since a late call of the old one may be under way', async () => {
-    const world = new World()
+    const world = new ScalingSimulation()
     await settled(world)
     world.running = 30
     await world.run(10_000)
@@ -54,7 +54,7 @@
   })
 
   it('are not lowered by a new holder that has seen no hold time', async () => {
-    const world = new World()
+    const world = new ScalingSimulation()
     await settled(world)
     world.running = 60
     await world.run(10_000)
@@ -70,7 +70,7 @@
   })
 
   it('end for a term whose token was refused', async () => {
-    const world = new World()
+    const world = new ScalingSimulation()
     await settled(world)
     world.sink.answer = () => ({ type: 'fenced' })
     world.running = 30
@@ -83,9 +83,9 @@
   })
 
   it('that fail are sent again with the same body, ever more seldom', async () => {
-    const world = new World()
+    const world = new ScalingSimulation()
     await settled(world)
-    world.sink.answer = () => ({ type: 'failed', why: 'answered 503' })
+    world.sink.answer = () => ({ type: 'failed', reason: 'answered 503' })
     world.running = 13 * 1.5
     await world.run(60_000)
     const tries = world.sink.sent
@@ -95,21 +95,21 @@
   })
 
   it('are sent once more after an older one of the same token may have been carried out late', async () => {
-    const world = new World()
+    const world = new ScalingSimulation()
     await settled(world)
     world.sink.answer = () => 'carried out late'
     world.running = 25
     await world.run(2000)
-    const older = world.sink.late[0] as FencedOrder
+    const older = world.sink.lateCalls[0] as FencedOrder
     world.sink.answer = () => ({ type: 'delivered' })
     world.running = 70
     await world.run(6000)
     const newer = world.state.scalingOrders.of('lm', 'dc1')?.desired
     expect(newer).toBeGreaterThan(older.desired)
     world.sink.carryOut(older)
-    expect(world.sink.set.get('lm dc1')).toBe(older.desired)
+    expect(world.sink.desiredCounts.get('lm dc1')).toBe(older.desired)
     await world.run(LATE_MS)
-    expect(world.sink.set.get('lm dc1')).toBe(newer)
+    expect(world.sink.desiredCounts.get('lm dc1')).toBe(newer)
     const same = () => world.sink.sent.filter(({ desired }) => desired === newer).length
     const calls = same()
     await world.run(60_000)
@@ -117,11 +117,11 @@
   })
 
   it('leave half of the rate of calls to others', async () => {
-    const world = new World(['dc1', 'dc2', 'dc3', 'dc4', 'dc5', 'dc6'], 2)
+    const world = new ScalingSimulation(['dc1', 'dc2', 'dc3', 'dc4', 'dc5', 'dc6'], 2)
     await settled(world)
     world.running = 30
     await world.run(30_000)
-    expect(world.sink.set.size).toBe(6)
+    expect(world.sink.desiredCounts.size).toBe(6)
     const times = world.sink.sent.map(({ at }) => at)
     for (const at of times) expect(times.filter((other) => other >= at && other < at + 1000).length).toBeLessThanOrEqual(2)
   })
--- a/control/program/test/scaling-demand.test.ts
+++ b/control/program/test/scaling-demand.test.ts
@@ -2,8 +2,8 @@
 import { nativeFormat, type RoutingDocument } from '@gullwall/config.document'
 import { LeaseTable } from '@gullwall/control.registry'
 import { createLogger } from '@gullwall/core.logger'
-import { type Lease, type WorkSummary } from '@gullwall/transport.messages'
-import { seeDemand } from '../src/scaling-demand.ts'
+import { type Lease, type LoadSummary } from '@gullwall/transport.messages'
+import { observeDemand } from '../src/scaling-demand.ts'
 
 const logger = createLogger({ program: 'test', box: 'test', level: 'error', write: () => {} })
 const scaling = { min: 1, max: 4, bootMs: 5000 }
@@ -35,7 +35,7 @@
 const lease = (incarnation: string, service: string, dataCentre: string, state: Lease['state'] = 'ready'): Lease => ({
   incarnation, service, address: `${incarnation}:1`, dataCentre, slots: 8, state, sequence: 1, ageMs: 0
 })
-const work = (incarnation: string, running: number, tokens: number[]): WorkSummary => ({
+const work = (incarnation: string, running: number, tokens: number[]): LoadSummary => ({
   incarnation, running, strain: 0, sensitive: 0, unreachable: 0, unread: tokens.map((count, urgency) => ({ urgency, tokens: count }))
 })
 
@@ -46,10 +46,10 @@
       lease('a', 'lm', 'dc1'), lease('b', 'lm', 'dc1'), lease('c', 'lm', 'dc1', 'draining'), lease('d', 'lm', 'dc2'),
       lease('e', 'lm', 'dc3', 'gone'), lease('p', 'plain', 'dc1')
     ])
-    const seen = seeDemand({
+    const seen = observeDemand({
       document,
       leases,
-      work: {
+      load: {
         works: [work('a', 3, [100, 50]), work('c', 2, [10]), work('d', 1, []), work('e', 7, [7]), work('p', 9, [])],
         readings: [{ incarnation: 'a', tokensPerMs: 20, pauseMs: 5 }, { incarnation: 'b', tokensPerMs: 40, pauseMs: 5 }]
       },
--- a/control/program/test/scaling-orders.fuzz.test.ts
+++ b/control/program/test/scaling-orders.fuzz.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import fc from 'fast-check'
-import { World } from './scaling-world.ts'
+import { ScalingSimulation } from './scaling-simulation.ts'
 
 const SEED = Number(process.env['FUZZ_SEED'] ?? 53)
 console.log(`orders of endpoints: FUZZ_SEED=${SEED}`)
@@ -22,7 +22,7 @@
 describe('orders of endpoints, through changes of holder, lost answers and late calls', () => {
   it('come to what the log says, and no holder sends after a later one', async () => {
     await fc.assert(fc.asyncProperty(fc.array(step, { minLength: 5, maxLength: 25 }), async (steps) => {
-      const world = new World()
+      const world = new ScalingSimulation()
       let term = 1
       await world.run(10_000)
       for (const next of steps) {
@@ -36,11 +36,11 @@
             break
           case 'answers':
             world.sink.answer = () => ({
-              delivered: { type: 'delivered' } as const, failed: { type: 'failed', why: '503' } as const, late: 'carried out late' as const
+              delivered: { type: 'delivered' } as const, failed: { type: 'failed', reason: '503' } as const, late: 'carried out late' as const
             })[next.how]
             break
           case 'carry out': {
-            const [late] = world.sink.late.splice(next.which % Math.max(1, world.sink.late.length), 1)
+            const [late] = world.sink.lateCalls.splice(next.which % Math.max(1, world.sink.lateCalls.length), 1)
             if (late !== undefined && world.now - late.at < LATE_MS) world.sink.carryOut(late)
           }
         }
@@ -49,9 +49,9 @@
       world.sink.answer = () => ({ type: 'delivered' })
       world.running = 30
       await world.run(2000)
-      for (const late of world.sink.late.splice(0)) if (world.now - late.at < LATE_MS) world.sink.carryOut(late)
+      for (const late of world.sink.lateCalls.splice(0)) if (world.now - late.at < LATE_MS) world.sink.carryOut(late)
       await world.run(QUIET_MS)
-      expect(world.sink.set.get('lm dc1')).toBe(world.state.scalingOrders.of('lm', 'dc1')?.desired)
+      expect(world.sink.desiredCounts.get('lm dc1')).toBe(world.state.scalingOrders.of('lm', 'dc1')?.desired)
       const tokens = world.sink.sent.map(({ token }) => token)
       expect(tokens).toEqual([...tokens].sort((left, right) => left - right))
       for (const { desired } of world.sink.sent) expect(desired >= 1 && desired <= 12).toBe(true)
--- a/control/program/test/scaling-policy.test.ts
+++ b/control/program/test/scaling-policy.test.ts
@@ -1,11 +1,11 @@
 import { describe, expect, it } from 'vitest'
 import { type Scaling } from '@gullwall/config.document'
-import { holdMsOf, ScalingPolicy, type Demand } from '../src/scaling-policy.ts'
+import { computeStabilisationMs, ScalingPolicy, type Demand } from '../src/scaling-policy.ts'
 
 const LOOK_MS = 500
 const SLOTS = 10
 const SCALING: Scaling = { min: 1, max: 12, bootMs: 10_000 }
-const HOLD_MS = holdMsOf(SCALING)
+const HOLD_MS = computeStabilisationMs(SCALING)
 const SEED = Number(process.env['SEED'] ?? 11)
 console.log(`scaling policy: SEED=${SEED}`)
 
--- a/control/program/test/scaling-processes.test.ts
+++ b/control/program/test/scaling-processes.test.ts
@@ -60,7 +60,7 @@
   it('order nothing for services that name no scaling', async () => {
     const sink = new FakeSink()
     const controls = await startThree(sink, undefined)
-    for (const control of controls) await control.get('scalingOrderer').look()
+    for (const control of controls) await control.get('scalingController').runOnce()
     expect(sink.orders).toEqual([])
     expect(controls.find(leads)?.get('state').scalingOrders.dump()).toEqual([])
   }, 3 * LONG_MS)
--- a/control/program/test/scaling-world.ts
+++ b/control/program/test/scaling-simulation.ts
@@ -2,8 +2,8 @@
 import { ControlState, type DecideScalingCommand, type ScalingResult } from '@gullwall/control.state'
 import { type DeliveryOutcome, type FencedOrder, type ScalingSink } from '@gullwall/control.program'
 import { createLogger } from '@gullwall/core.logger'
-import { DutyLease } from '../src/duty-lease.ts'
-import { ScalingOrderer } from '../src/scaling-orderer.ts'
+import { LeaderLease } from '../src/leader-lease.ts'
+import { ScalingController } from '../src/scaling-controller.ts'
 
 const LOOK_MS = 500
 export const LEASE_MS = 1000
@@ -13,9 +13,9 @@
 export class FakeSink implements ScalingSink {
   readonly sent: Array<FencedOrder & { at: number }> = []
   /** What the outside has set, by service and data centre. */
-  readonly set = new Map<string, number>()
+  readonly desiredCounts = new Map<string, number>()
   answer: (order: FencedOrder) => DeliveryOutcome | 'carried out late' = () => ({ type: 'delivered' })
-  readonly late: Array<FencedOrder & { at: number }> = []
+  readonly lateCalls: Array<FencedOrder & { at: number }> = []
   private highest = 0
 
   constructor (private readonly now: () => number) {}
@@ -24,8 +24,8 @@
     this.sent.push({ ...order, at: this.now() })
     const outcome = this.answer(order)
     if (outcome === 'carried out late') {
-      this.late.push({ ...order, at: this.now() })
-      return { type: 'failed', why: 'no answer' }
+      this.lateCalls.push({ ...order, at: this.now() })
+      return { type: 'failed', reason: 'no answer' }
     }
     return outcome.type === 'delivered' ? this.carryOut(order) : outcome
   }
@@ -33,7 +33,7 @@
   carryOut ({ service, dataCentre, desired, token }: FencedOrder): DeliveryOutcome {
     if (token < this.highest) return { type: 'fenced' }
     this.highest = token
-    this.set.set(`${service} ${dataCentre}`, desired)
+    this.desiredCounts.set(`${service} ${dataCentre}`, desired)
     return { type: 'delivered' }
   }
 
@@ -42,14 +42,14 @@
   }
 }
 
-export class World {
+export class ScalingSimulation {
   now = 0
   running = 12
   leader: { name: string, term: number } | undefined = { name: 'a', term: 1 }
   readonly sink = new FakeSink(() => this.now)
   readonly lines: string[] = []
   readonly state = new ControlState()
-  private readonly orderers = new Map<string, ScalingOrderer>()
+  private readonly orderers = new Map<string, ScalingController>()
 
   constructor (private readonly dataCentres: string[] = ['dc1'], private readonly callsPerSecond = 4) {
     for (const name of ['a', 'b']) this.orderers.set(name, this.newOrderer(name))
@@ -62,19 +62,22 @@
 
   async run (forMs: number): Promise<void> {
     for (const end = this.now + forMs; this.now < end; this.now += LOOK_MS) {
-      for (const orderer of this.orderers.values()) await orderer.look()
+      for (const orderer of this.orderers.values()) await orderer.runOnce()
     }
   }
 
-  private newOrderer (name: string): ScalingOrderer {
+  private newOrderer (name: string): ScalingController {
     const now = () => this.now
-    return new ScalingOrderer({
-      lease: new DutyLease({
-        leaseMs: LEASE_MS, leadingTerm: () => this.leader?.name === name ? this.leader.term : undefined, confirm: async () => {}, now
+    return new ScalingController({
+      lease: new LeaderLease({
+        leaseMs: LEASE_MS,
+        leadingTerm: () => this.leader?.name === name ? this.leader.term : undefined,
+        confirmLeadership: async () => {},
+        now
       }),
       orders: this.state.scalingOrders,
       decide: async (command: DecideScalingCommand) => JSON.parse(this.state.apply(0, JSON.stringify(command))) as ScalingResult,
-      see: () => this.dataCentres.map((dataCentre) => ({
+      observeDemand: () => this.dataCentres.map((dataCentre) => ({
         service: 'lm',
         dataCentre,
         scaling: SCALING,
--- a/control/program/test/paced-action.test.ts
+++ b/control/program/test/throttled-action.test.ts
@@ -1,5 +1,5 @@
 import { afterEach, beforeEach, expect, it, vi } from 'vitest'
-import { PacedAction } from '../src/paced-action.ts'
+import { ThrottledAction } from '../src/throttled-action.ts'
 
 const SPACING_MS = 40
 
@@ -8,7 +8,7 @@
 
 it('runs soon after a pause, once for all requests, and keeps its spacing', () => {
   let runs = 0
-  const action = new PacedAction(() => SPACING_MS, () => { runs += 1 })
+  const action = new ThrottledAction(() => SPACING_MS, () => { runs += 1 })
   for (let request = 0; request < 5; request += 1) action.request()
   vi.advanceTimersByTime(1)
   expect(runs).toBe(1)
--- a/control/program/test/usage-reporter.test.ts
+++ b/control/program/test/usage-reporter.test.ts
@@ -46,7 +46,7 @@
     const controls = await startFive(sink)
     const window = currentWindow()
     for (const [index, control] of controls.entries()) {
-      control.get('usageReporter').fromEntry({ peer: { name: `entry-${index}`, startId: 's' } } as unknown as Link, {
+      control.get('usageReporter').receiveFromEntry({ peer: { name: `entry-${index}`, startId: 's' } } as unknown as Link, {
         kind: 'usage', windows: [{ window, counts: [{ organisation: 'a', begun: index + 1 }] }]
       })
     }
@@ -56,12 +56,12 @@
 
   it('is the same again from whoever takes over, though more is known by then', async () => {
     const sink = new FakeSink()
-    sink.answer = () => ({ type: 'failed', why: 'no answer' })
+    sink.answer = () => ({ type: 'failed', reason: 'no answer' })
     const controls = await startFive(sink)
     const window = currentWindow()
     const tell = (begun: number) => {
       for (const control of controls) {
-        control.get('usageReporter').fromEntry(entry, { kind: 'usage', windows: [{ window, counts: [{ organisation: 'a', begun }] }] })
+        control.get('usageReporter').receiveFromEntry(entry, { kind: 'usage', windows: [{ window, counts: [{ organisation: 'a', begun }] }] })
       }
     }
     tell(5)
@@ -91,7 +91,7 @@
     await until('a leader', () => leaderOf(controls) !== undefined, 20_000)
     const window = currentWindow()
     for (const [index, control] of controls.entries()) {
-      control.get('usageReporter').fromEntry({ peer: { name: `entry-${index}`, startId: 's' } } as unknown as Link, {
+      control.get('usageReporter').receiveFromEntry({ peer: { name: `entry-${index}`, startId: 's' } } as unknown as Link, {
         kind: 'usage', windows: [{ window, counts: [{ organisation: 'a', begun: index + 1 }] }]
       })
     }
@@ -102,7 +102,7 @@
     await stopAll()
     const again = await startAll(true)
     // An entry that lives on tells all of its counts again; they are the same counts.
-    again[0]?.get('usageReporter').fromEntry({ peer: { name: 'entry-0', startId: 's' } } as unknown as Link, {
+    again[0]?.get('usageReporter').receiveFromEntry({ peer: { name: 'entry-0', startId: 's' } } as unknown as Link, {
       kind: 'usage', windows: [{ window, counts: [{ organisation: 'a', begun: 1 }] }]
     })
     await until('reports', () => sink.of(window).length > 0, 20_000)
@@ -114,7 +114,7 @@
     await writeChecked(disk, 'usage', '{"no":"counts"}')
     const [address = ''] = await freeAddresses(1)
     const control = await start({ address, seeds: [address], disk, usage: USAGE, usageSink: new FakeSink() })
-    expect(control.get('usageReporter').partsOf(currentWindow()).sources).toEqual([])
+    expect(control.get('usageReporter').getUsageParts(currentWindow()).sources).toEqual([])
   })
 
   it('is not sent again under a token that was refused', async () => {
--- a/control/program/test/usage-store.test.ts
+++ b/control/program/test/usage-store.test.ts
@@ -17,8 +17,8 @@
     const disk = new MemoryDisk()
     await writeChecked(disk, 'usage', JSON.stringify([counted('before')]))
     const held = [counted('after')]
-    const store = new UsageStore({ services: { disk, logger: silentLogger() }, take: () => held })
-    store.changed()
+    const store = new UsageStore({ services: { disk, logger: silentLogger() }, takeSnapshot: () => held })
+    store.requestSave()
     await vi.advanceTimersByTimeAsync(LONG_MS)
     const read = await store.read()
     expect(read).toEqual([counted('before')])
@@ -36,10 +36,10 @@
         writes += 1
         return []
       }
-      const store = new UsageStore({ services: { disk: new MemoryDisk(), logger: silentLogger() }, take, now: () => clock })
+      const store = new UsageStore({ services: { disk: new MemoryDisk(), logger: silentLogger() }, takeSnapshot: take, now: () => clock })
       await store.read()
       for (let passed = 0; passed < ms; passed += 10) {
-        store.changed()
+        store.requestSave()
         await vi.advanceTimersByTimeAsync(10)
       }
       store.stop()
@@ -55,9 +55,9 @@
     const reporter = new UsageReporter({
       disk, logger: silentLogger(), settings: { usage: { windowMs: 5000, lateMs: 10_000, leaseMs: 3000 } }, usageSink: {}
     } as never)
-    expect(() => reporter.partsOf(7)).toThrow(/not read yet/)
+    expect(() => reporter.getUsageParts(7)).toThrow(/not read yet/)
     await reporter.start()
     reporter.stop()
-    expect(reporter.partsOf(7).sources).toEqual([{ source: 'before', counts: [{ organisation: 'a', begun: 3 }] }])
+    expect(reporter.getUsageParts(7).sources).toEqual([{ source: 'before', counts: [{ organisation: 'a', begun: 3 }] }])
   })
 })
--- a/control/registry/src/lease-table.ts
+++ b/control/registry/src/lease-table.ts
@@ -6,7 +6,7 @@
  * and nothing is kept of the others. That a lease ran out is never told to others.
  */
 import { type Logger } from '@gullwall/core.logger'
-import { laterLimit, type HeldLimit } from '@gullwall/routing.rates'
+import { selectLatestLimit, type AdvertisedLimit } from '@gullwall/routing.rates'
 import { type Lease, type Life } from '@gullwall/transport.messages'
 import { limitFromWire, limitToWire } from './limit-words.ts'
 
@@ -28,11 +28,11 @@
 const TURNED_COLD_MS = 500
 
 /** One lease as it is held here. */
-export interface HeldLease extends Omit<Lease, 'ageMs' | 'limit'> {
+export interface KnownLease extends Omit<Lease, 'ageMs' | 'limit'> {
   /** When the latest heartbeat arrived anywhere, by this process's monotonic clock. */
-  heardAt: number
+  receivedAt: number
   /** What it said last of its limit; none where it has named none. */
-  limit?: HeldLimit | undefined
+  limit?: AdvertisedLimit | undefined
 }
 
 interface Leaver {
@@ -52,9 +52,9 @@
   leaseMs?: number
   now?: () => number
   /** Told of leases that are new or have changed state; a mere refresh is not told. */
-  onChange?: (changed: HeldLease[]) => void
+  onChange?: (changed: KnownLease[]) => void
   /** Told at once of each endpoint that has named another limit, or names none any more. */
-  onLimit?: (lease: HeldLease) => void
+  onLimit?: (lease: KnownLease) => void
   /** Told at once of each incarnation for which `isUsable` may have changed. */
   onTouched?: (incarnation: string) => void
 }
@@ -63,7 +63,7 @@
 export type Merged = 'changed' | 'refreshed' | 'stale'
 
 export class LeaseTable {
-  private readonly held = new Map<string, HeldLease>()
+  private readonly held = new Map<string, KnownLease>()
   /** The incarnation that was last heard at each address. */
   private readonly holders = new Map<string, string>()
   /** The life born last of each endpoint that may start again under its name. */
@@ -89,7 +89,7 @@
     clearInterval(this.timer)
   }
 
-  get (incarnation: string): HeldLease | undefined {
+  get (incarnation: string): KnownLease | undefined {
     return this.held.get(incarnation)
   }
 
@@ -111,7 +111,7 @@
    * Notes that an endpoint has said by another way than a heartbeat that it drains. It holds for the rest of its life,
    * whatever heartbeats that were on their way still say. Gives whether that is news.
    */
-  noteDraining (incarnation: string): boolean {
+  recordDraining (incarnation: string): boolean {
     const held = this.held.get(incarnation)
     if (held === undefined) {
       this.rememberLeaver({ incarnation, state: 'draining' })
@@ -122,11 +122,11 @@
   }
 
   /** Notes what an endpoint said of its limit, and gives whether that is news. It ends with the life that said it. */
-  noteLimit (incarnation: string, word: HeldLimit): boolean {
+  recordLimit (incarnation: string, word: AdvertisedLimit): boolean {
     const lease = this.held.get(incarnation)
     if (lease === undefined || (word.perSecond === undefined && lease.limit === undefined)) return false
     const before = lease.limit?.perSecond
-    lease.limit = laterLimit(lease.limit, word)
+    lease.limit = selectLatestLimit(lease.limit, word)
     const after = lease.limit?.perSecond
     if (before === after) return false
     const why = after === undefined ? 'it names no limit any more' : `it takes ${after} requests a second from all boxes, ${before ?? 'any number'} before`
@@ -155,22 +155,22 @@
    */
   silentMs (incarnation: string): number {
     const lease = this.held.get(incarnation)
-    return lease === undefined ? 0 : this.newestWord() - lease.heardAt
+    return lease === undefined ? 0 : this.newestWord() - lease.receivedAt
   }
 
   /** Every lease, those that are gone included. */
-  all (): HeldLease[] {
+  all (): KnownLease[] {
     return [...this.held.values()]
   }
 
   /** Takes leases from a heartbeat or a peer. */
   merge (leases: readonly Lease[]): Merged[] {
-    const changed: HeldLease[] = []
+    const changed: KnownLease[] = []
     const outcomes = leases.map((given) => {
       const lease = this.ofLatestLife(given)
       const addressBefore = this.held.get(lease.incarnation)?.address
       const merged = this.mergeOne(lease)
-      const isLimitNews = lease.limit !== undefined && this.noteLimit(lease.incarnation, limitFromWire(lease.limit, this.now()))
+      const isLimitNews = lease.limit !== undefined && this.recordLimit(lease.incarnation, limitFromWire(lease.limit, this.now()))
       const outcome = isLimitNews ? 'changed' : merged
       const held = this.held.get(lease.incarnation)
       if (held !== undefined && outcome !== 'stale') {
@@ -202,10 +202,10 @@
   }
 
   /** Leases for the wire, with their age instead of a local time. */
-  toWire (leases: readonly HeldLease[] = this.all()): Lease[] {
+  toWire (leases: readonly KnownLease[] = this.all()): Lease[] {
     const now = this.now()
-    return leases.map(({ heardAt, limit, ...lease }) => ({
-      ...lease, ...(limit === undefined ? {} : { limit: limitToWire(limit, now) }), ageMs: Math.max(0, Math.round(now - heardAt))
+    return leases.map(({ receivedAt, limit, ...lease }) => ({
+      ...lease, ...(limit === undefined ? {} : { limit: limitToWire(limit, now) }), ageMs: Math.max(0, Math.round(now - receivedAt))
     }))
   }
 
@@ -218,8 +218,8 @@
     const leaseMs = this.options.leaseMs ?? DEFAULT_LEASE_MS
     const newest = this.newestWord()
     for (const [incarnation, lease] of this.held) {
-      if (now - lease.heardAt > TOMBSTONE_MS && lease.state === 'gone') this.forget(incarnation, lease)
-      const silentMs = newest - lease.heardAt
+      if (now - lease.receivedAt > TOMBSTONE_MS && lease.state === 'gone') this.forget(incarnation, lease)
+      const silentMs = newest - lease.receivedAt
       if (lease.state === 'gone' || silentMs <= leaseMs) continue
       this.forget(incarnation, lease)
       this.options.onTouched?.(incarnation)
@@ -230,7 +230,7 @@
   /** When any endpoint was last heard, by this process's monotonic clock. */
   private newestWord (): number {
     let newest = -Infinity
-    for (const { heardAt } of this.held.values()) newest = Math.max(newest, heardAt)
+    for (const { receivedAt } of this.held.values()) newest = Math.max(newest, receivedAt)
     return newest
   }
 
@@ -275,7 +275,7 @@
     if (isTooOld || (lease.life !== undefined && !this.isLatest(lease.incarnation, lease.life))) return 'stale'
     if (lease.state !== 'ready') this.rememberLeaver(lease)
     if (known === undefined) {
-      this.held.set(lease.incarnation, { ...rest, heardAt })
+      this.held.set(lease.incarnation, { ...rest, receivedAt: heardAt })
       this.log(lease, `sequence ${lease.sequence}, heard ${Math.round(ageMs)} ms ago`)
       return 'changed'
     }
@@ -283,13 +283,13 @@
     if (lease.sequence <= known.sequence && !goesOn) return 'stale'
     const state = goesOn ? lease.state : known.state
     const isNewer = lease.sequence > known.sequence
-    const hasTurnedCold = isNewer && coldUntil({ ...rest, heardAt }) - Math.max(heardAt, coldUntil(known)) > TURNED_COLD_MS
+    const hasTurnedCold = isNewer && coldUntil({ ...rest, receivedAt: heardAt }) - Math.max(heardAt, coldUntil(known)) > TURNED_COLD_MS
     this.held.set(lease.incarnation, {
       ...(isNewer ? rest : known),
       limit: known.limit,
       state,
       sequence: Math.max(lease.sequence, known.sequence),
-      heardAt: Math.max(heardAt, known.heardAt)
+      receivedAt: Math.max(heardAt, known.receivedAt)
     })
     const isFirstWord = this.unconfirmed.delete(lease.incarnation)
     // Refreshes are told together some seconds later; until then others would send as to a warm one.
@@ -319,10 +319,10 @@
    * Gives whether the address has another holder now. Later words win, so that a heartbeat that arrives late is put right by
    * the next one of the successor.
    */
-  private noteHolder ({ incarnation, address, state, heardAt }: HeldLease): boolean {
+  private noteHolder ({ incarnation, address, state, receivedAt }: KnownLease): boolean {
     const before = this.holders.get(address)
     const holder = this.held.get(before ?? '')
-    if (state !== 'ready' || (holder !== undefined && holder.heardAt > heardAt)) return false
+    if (state !== 'ready' || (holder !== undefined && holder.receivedAt > receivedAt)) return false
     this.holders.set(address, incarnation)
     if (before === incarnation) return false
     if (before !== undefined) this.options.onTouched?.(before)
@@ -338,6 +338,6 @@
 }
 
 /** Until when an endpoint is cold by its own word, by the monotonic clock; -Infinity where it does not say. */
-function coldUntil ({ coldMs, heardAt }: HeldLease): number {
-  return coldMs === undefined ? -Infinity : heardAt + coldMs
+function coldUntil ({ coldMs, receivedAt }: KnownLease): number {
+  return coldMs === undefined ? -Infinity : receivedAt + coldMs
 }
--- a/control/registry/test/lease-table.test.ts
+++ b/control/registry/test/lease-table.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { LeaseTable, type HeldLease } from '@gullwall/control.registry'
+import { LeaseTable, type KnownLease } from '@gullwall/control.registry'
 import { silentLogger } from '@gullwall/core.logger'
 import { type Lease } from '@gullwall/transport.messages'
 
@@ -12,7 +12,7 @@
 
 function table (leaseMs = 1000) {
   const clock = { now: 0 }
-  const changes: HeldLease[] = []
+  const changes: KnownLease[] = []
   const leases = new LeaseTable({ logger: silentLogger(), leaseMs, now: () => clock.now, onChange: (changed) => changes.push(...changed) })
   return { leases, clock, changes }
 }
@@ -48,7 +48,7 @@
 
   it('that were kept over a restart stay cold for as long as they said, until a heartbeat comes', () => {
     const { leases, clock } = table()
-    const coldLeft = (name: string) => (leases.get(name)?.coldMs ?? 0) + (leases.get(name)?.heardAt ?? 0) - clock.now
+    const coldLeft = (name: string) => (leases.get(name)?.coldMs ?? 0) + (leases.get(name)?.receivedAt ?? 0) - clock.now
     leases.restore([{ ...lease('a', 5), coldMs: 2000 }, { ...lease('b', 5), coldMs: 0 }], 300)
     expect([coldLeft('a'), leases.get('b')?.coldMs]).toEqual([2000, 0])
     leases.merge([{ ...lease('a', 6), coldMs: 400 }])
@@ -63,7 +63,7 @@
     expect(leases.merge(next)).toEqual(['refreshed', 'changed', 'changed'])
     clock.now = 2400
     expect(leases.merge([{ ...lease('a', 3), coldMs: 5000 }, { ...lease('b', 3), coldMs: 2800 }])).toEqual(['changed', 'refreshed'])
-    expect(leases.get('a')).toMatchObject({ coldMs: 5000, heardAt: 2400 })
+    expect(leases.get('a')).toMatchObject({ coldMs: 5000, receivedAt: 2400 })
   })
 
   it('of an endpoint are not used once another incarnation is heard at its address', () => {
@@ -145,8 +145,8 @@
         clock.now += waitMs
         leases.merge([{ ...lease(`i-${name}`, index + 1, gone && name === 0 ? 'gone' : 'ready', ageMs), address: `10.0.0.${name}:80` }])
         const before = leases.all()
-        const newest = Math.max(...before.map(({ heardAt }) => heardAt))
-        const kept = before.filter(({ state, heardAt }) => state === 'gone' || newest - heardAt <= 1000)
+        const newest = Math.max(...before.map(({ receivedAt }) => receivedAt))
+        const kept = before.filter(({ state, receivedAt }) => state === 'gone' || newest - receivedAt <= 1000)
         leases.sweep()
         expect(leases.all().map(({ incarnation }) => incarnation)).toEqual(kept.map(({ incarnation }) => incarnation))
       }
--- a/control/registry/test/leavers.test.ts
+++ b/control/registry/test/leavers.test.ts
@@ -34,7 +34,7 @@
 
 describe('an endpoint that has said that it drains', () => {
   it.each([['a heartbeat', (leases: LeaseTable) => { leases.merge([word('e', 5, 'draining', 1000)]) }],
-    ['an answer', (leases: LeaseTable) => { leases.noteDraining('e@1000') }]
+    ['an answer', (leases: LeaseTable) => { leases.recordDraining('e@1000') }]
   ])('in %s takes no work when a heartbeat from before comes after its lease has run out', (_way, say) => {
     const { leases, pass } = table()
     leases.merge([word('e', 4, 'ready', 1000)])
@@ -54,7 +54,7 @@
     const { leases, changed } = table()
     leases.merge([word('e', 4)])
     changed.length = 0
-    expect([leases.noteDraining('e'), leases.noteDraining('e'), leases.noteDraining('unknown')]).toEqual([true, false, false])
+    expect([leases.recordDraining('e'), leases.recordDraining('e'), leases.recordDraining('unknown')]).toEqual([true, false, false])
     expect(changed).toEqual(['e'])
     leases.merge([word('e', 9)])
     expect(leases.get('e')).toMatchObject({ state: 'draining', sequence: 9 })
@@ -62,7 +62,7 @@
 
   it('before its lease was known here takes no work', () => {
     const { leases } = table()
-    leases.noteDraining('e@1000')
+    leases.recordDraining('e@1000')
     leases.merge([word('e', 4, 'ready', 1000)])
     expect(leases.isUsable('e@1000')).toBe(false)
   })
@@ -70,7 +70,7 @@
   it('and tells no lives may start again under its name after two minutes', () => {
     const { leases, pass } = table()
     leases.merge([word('e', 4)])
-    leases.noteDraining('e')
+    leases.recordDraining('e')
     pass(LEASE_MS + 1000, 'e')
     leases.merge([word('e', 5)])
     expect(leases.isUsable('e')).toBe(false)
@@ -82,7 +82,7 @@
 
   it('is remembered in bounded state', () => {
     const { leases } = table()
-    for (let index = 0; index < 5000; index += 1) leases.noteDraining(`e-${index}@1`)
+    for (let index = 0; index < 5000; index += 1) leases.recordDraining(`e-${index}@1`)
     leases.merge([word('e-0', 1, 'ready', 1), word('e-4999', 1, 'ready', 1)])
     expect([leases.get('e-0@1')?.state, leases.get('e-4999@1')?.state]).toEqual(['ready', 'draining'])
   })
--- a/control/registry/test/limit-words.test.ts
+++ b/control/registry/test/limit-words.test.ts
@@ -1,31 +1,33 @@
 import { describe, expect, it } from 'vitest'
 import fc from 'fast-check'
 import { silentLogger } from '@gullwall/core.logger'
-import { laterLimit, type HeldLimit } from '@gullwall/routing.rates'
+import { selectLatestLimit, type AdvertisedLimit } from '@gullwall/routing.rates'
 import { type Lease } from '@gullwall/transport.messages'
 import { LeaseTable } from '../src/index.ts'
 
 const SEED = Number(process.env['FUZZ_SEED'] ?? 20_265)
 
-const word = (perSecond: number | undefined, sentAt: number, heardAt: number): HeldLimit => ({ perSecond, sentAt, heardAt })
+const word = (
+  perSecond: number | undefined, sentAt: number, heardAt: number
+): AdvertisedLimit => ({ perSecond, sentAt, receivedAt: heardAt })
 
 describe('of two words of a limit', () => {
   it('the one that was surely made later holds, be it raised, lowered or over', () => {
-    expect(laterLimit(word(1, 0, 10), word(5, 10, 20))?.perSecond).toBe(5)
-    expect(laterLimit(word(5, 10, 20), word(1, 0, 10))?.perSecond).toBe(5)
-    expect(laterLimit(word(1, 0, 10), word(undefined, 11, 20))?.perSecond).toBeUndefined()
+    expect(selectLatestLimit(word(1, 0, 10), word(5, 10, 20))?.perSecond).toBe(5)
+    expect(selectLatestLimit(word(5, 10, 20), word(1, 0, 10))?.perSecond).toBe(5)
+    expect(selectLatestLimit(word(1, 0, 10), word(undefined, 11, 20))?.perSecond).toBeUndefined()
   })
 
   it('the stricter one holds where their heads crossed, and only an answer to a later request ends it', () => {
-    expect(laterLimit(word(1, 0, 10), word(undefined, 5, 20))?.perSecond).toBe(1)
-    expect(laterLimit(word(undefined, 5, 20), word(1, 0, 10))?.perSecond).toBe(1)
-    expect(laterLimit(word(3, 0, 10), word(1, 5, 12))?.perSecond).toBe(1)
-    const held = laterLimit(word(1, 0, 10), word(undefined, 5, 20)) as HeldLimit
-    expect(laterLimit(held, word(undefined, 12, 30))?.perSecond).toBeUndefined()
+    expect(selectLatestLimit(word(1, 0, 10), word(undefined, 5, 20))?.perSecond).toBe(1)
+    expect(selectLatestLimit(word(undefined, 5, 20), word(1, 0, 10))?.perSecond).toBe(1)
+    expect(selectLatestLimit(word(3, 0, 10), word(1, 5, 12))?.perSecond).toBe(1)
+    const held = selectLatestLimit(word(1, 0, 10), word(undefined, 5, 20)) as AdvertisedLimit
+    expect(selectLatestLimit(held, word(undefined, 12, 30))?.perSecond).toBeUndefined()
   })
 
   it('nothing is kept of one that names none where none was named', () => {
-    expect(laterLimit(undefined, word(undefined, 0, 10))).toBeUndefined()
+    expect(selectLatestLimit(undefined, word(undefined, 0, 10))).toBeUndefined()
   })
 })
 
@@ -43,7 +45,7 @@
   it('outlives heartbeats, is told on with its age, and ends with the life that named it', () => {
     const { clock, table, changed } = tableAt()
     table.merge([lease('a1', 1)])
-    expect(table.noteLimit('a1', word(2, 990, 995))).toBe(true)
+    expect(table.recordLimit('a1', word(2, 990, 995))).toBe(true)
     table.merge([lease('a1', 1, 2)])
     clock.now = 1100
     const [told] = table.toWire()
@@ -68,7 +70,7 @@
       const settled = [held, shuffled].map((order) => {
         const { table } = tableAt()
         table.merge([lease('a1', 1)])
-        for (const item of [...order, word(last, 200, 210)]) table.noteLimit('a1', item)
+        for (const item of [...order, word(last, 200, 210)]) table.recordLimit('a1', item)
         return table.get('a1')?.limit?.perSecond
       })
       expect(settled).toEqual([last, last])
--- a/control/state/src/control-state.ts
+++ b/control/state/src/control-state.ts
@@ -1,7 +1,7 @@
 /** The state machine of control: applies commands in the order of the log. */
 import { checkReferences, RecordMap, type RecordChange } from '@gullwall/config.records'
 import { type Mistake } from '@gullwall/config.checker'
-import { type EvidenceDump } from '@gullwall/routing.quarantine'
+import { type EvidenceSnapshot } from '@gullwall/routing.quarantine'
 import { Claims } from './claims.ts'
 import {
   DOCUMENT_KEY, type ApplyCommand, type ApplyResult, type ClaimResult, type Command, type Difference, type DocumentCommand,
@@ -30,7 +30,7 @@
   ApplyResult | ClaimResult | DocumentResult | UsageReport | EvacuationResult | ScalingResult | QuarantineResult | Record<string, never>
 )
 
-const NO_EVIDENCE: EvidenceDump = { crashes: [], held: [], suspected: [], isJudged: true }
+const NO_EVIDENCE: EvidenceSnapshot = { crashes: [], held: [], suspected: [], isJudged: true }
 
 /** What a snapshot holds. */
 interface Dump {
@@ -44,7 +44,7 @@
   /** Missing in snapshots of processes that ordered no endpoints. */
   scalingOrders?: ScalingOrder[]
   /** Missing in snapshots of processes that held no requests for crashes. */
-  crashEvidence?: EvidenceDump
+  crashEvidence?: EvidenceSnapshot
 }
 
 export class ControlState {
@@ -79,7 +79,7 @@
       claims: this.claims.dump(),
       usageReports: this.usageReports.dump(),
       scalingOrders: this.scalingOrders.dump(),
-      crashEvidence: this.quarantine.evidence.dump()
+      crashEvidence: this.quarantine.evidence.createSnapshot()
     }
     return JSON.stringify(dump)
   }
--- a/control/state/src/quarantine.ts
+++ b/control/state/src/quarantine.ts
@@ -34,22 +34,22 @@
   constructor (private readonly put: (change: RecordChange) => void) {}
 
   note ({ crashes, ranWell }: NoteCrashesCommand): QuarantineResult {
-    this.evidence.note(crashes)
-    return this.apply({ held: [], released: this.evidence.clear(ranWell) })
+    this.evidence.recordCrashes(crashes)
+    return this.apply({ held: [], released: this.evidence.clearRequests(ranWell) })
   }
 
   judge (): QuarantineResult {
-    return this.apply(this.evidence.judge())
+    return this.apply(this.evidence.evaluate())
   }
 
   forget ({ endpoints, requests }: ForgetCrashesCommand): QuarantineResult {
     this.evidence.forgetCrashes(endpoints)
-    return this.apply({ held: [], released: this.evidence.release(requests) })
+    return this.apply({ held: [], released: this.evidence.releaseRequests(requests) })
   }
 
   private apply (result: QuarantineResult): QuarantineResult {
     for (const fingerprint of result.held) {
-      const held: HeldRequest = { crashes: this.evidence.crashesOf(fingerprint) }
+      const held: HeldRequest = { crashes: this.evidence.countCrashes(fingerprint) }
       this.put({ key: KEY_PREFIX + fingerprint, value: JSON.stringify(held) })
     }
     for (const fingerprint of result.released) this.put({ key: KEY_PREFIX + fingerprint, value: null })
--- a/control/workload/src/reading-table.ts
+++ b/control/workload/src/reading-table.ts
@@ -1,5 +1,5 @@
 /** How engines read prompts and how attempts end there, learnt from what many entries saw of them. */
-import { OutcomeObserver, ReadingObserver } from '@gullwall/routing.balancer'
+import { OutcomeObserver, PrefillObserver } from '@gullwall/routing.balancer'
 import { type Observation, type Reading } from '@gullwall/transport.messages'
 
 /** What nobody has seen for so long is forgotten, in ms: the engine has ended, or is not used. */
@@ -10,7 +10,7 @@
 const TOLD_SHARE_CHANGE = 0.05
 
 interface Observed {
-  observer: ReadingObserver
+  observer: PrefillObserver
   outcomes: OutcomeObserver
   seenAt: number
   told: Reading | undefined
@@ -26,7 +26,7 @@
       this.observed.set(incarnation, known)
       known.seenAt = now
       for (const pauseMs of pauses) known.observer.learnPause(pauseMs)
-      for (const read of reads) known.observer.learnRead(read)
+      for (const read of reads) known.observer.learnPrefill(read)
       known.outcomes.learn({ good, failed }, now)
     }
   }
@@ -56,11 +56,11 @@
 }
 
 function newlyObserved (now: number): Observed {
-  return { observer: new ReadingObserver(), outcomes: new OutcomeObserver(), seenAt: now, told: undefined }
+  return { observer: new PrefillObserver(), outcomes: new OutcomeObserver(), seenAt: now, told: undefined }
 }
 
 function readingOf (incarnation: string, { observer: { tokensPerMs, pauseMs }, outcomes }: Observed, now: number): Reading {
-  const failureShare = Math.round(100 * outcomes.shareAt(now)) / 100
+  const failureShare = Math.round(100 * outcomes.failureShareAt(now)) / 100
   return { incarnation, tokensPerMs: Math.round(100 * tokensPerMs) / 100, pauseMs: Math.round(pauseMs), failureShare }
 }
 
--- a/control/workload/src/workload-table.ts
+++ b/control/workload/src/workload-table.ts
@@ -2,21 +2,21 @@
  * What several sources have under way at each endpoint. A source is an entry, or a control process that tells the sum of
  * its entries. Sums are taken anew from the sources' own words whenever they are asked for, so that they can't drift.
  */
-import { type MemoryUse, type UnreadTokens, type WorkSummary } from '@gullwall/transport.messages'
+import { type MemoryUse, type UnreadTokens, type LoadSummary } from '@gullwall/transport.messages'
 
 export class WorkloadTable<Source> {
-  private readonly bySource = new Map<Source, Map<string, WorkSummary>>()
-  private readonly byEndpoint = new Map<string, Map<Source, WorkSummary>>()
+  private readonly bySource = new Map<Source, Map<string, LoadSummary>>()
+  private readonly byEndpoint = new Map<string, Map<Source, LoadSummary>>()
 
   /** Puts a source's whole word in place of what it told before; gives the endpoints at which it has changed. */
-  replace (source: Source, works: readonly WorkSummary[]): string[] {
+  replace (source: Source, works: readonly LoadSummary[]): string[] {
     const told = new Set(works.map(({ incarnation }) => incarnation))
     const missing = [...this.bySource.get(source)?.keys() ?? []].filter((incarnation) => !told.has(incarnation))
     return [...this.update(source, works), ...this.update(source, missing.map(idleAt))]
   }
 
   /** Takes a source's word of some endpoints; gives those at which it has changed. */
-  update (source: Source, works: readonly WorkSummary[]): string[] {
+  update (source: Source, works: readonly LoadSummary[]): string[] {
     return works.filter((work) => this.set(source, work)).map(({ incarnation }) => incarnation)
   }
 
@@ -33,7 +33,7 @@
   }
 
   /** The sum over some of the sources at one endpoint. */
-  sumAt (incarnation: string, counts: (source: Source) => boolean): WorkSummary {
+  sumAt (incarnation: string, counts: (source: Source) => boolean): LoadSummary {
     const sum = { running: 0, strain: 0, sensitive: 0, unreachable: 0 }
     const unread = new Map<number, number>()
     let memory: MemoryUse | undefined
@@ -51,13 +51,13 @@
   }
 
   /** Whether this is news. */
-  private set (source: Source, work: WorkSummary): boolean {
+  private set (source: Source, work: LoadSummary): boolean {
     const { incarnation } = work
-    const works = this.bySource.get(source) ?? new Map<string, WorkSummary>()
+    const works = this.bySource.get(source) ?? new Map<string, LoadSummary>()
     const known = works.get(incarnation) ?? idleAt(incarnation)
     if (isSame(known, work)) return false
     this.bySource.set(source, works)
-    const sources = this.byEndpoint.get(incarnation) ?? new Map<Source, WorkSummary>()
+    const sources = this.byEndpoint.get(incarnation) ?? new Map<Source, LoadSummary>()
     this.byEndpoint.set(incarnation, sources)
     if (isIdle(work)) {
       works.delete(incarnation)
@@ -72,15 +72,15 @@
   }
 }
 
-function idleAt (incarnation: string): WorkSummary {
+function idleAt (incarnation: string): LoadSummary {
   return { incarnation, running: 0, strain: 0, sensitive: 0, unreachable: 0, unread: [] }
 }
 
-function isIdle (work: WorkSummary): boolean {
+function isIdle (work: LoadSummary): boolean {
   return isSame(work, idleAt(work.incarnation))
 }
 
-function isSame (left: WorkSummary, right: WorkSummary): boolean {
+function isSame (left: LoadSummary, right: LoadSummary): boolean {
   return left.running === right.running && left.strain === right.strain && left.sensitive === right.sensitive &&
     left.unreachable === right.unreachable && isSameMemory(left.memory, right.memory) &&
     left.unread.length === right.unread.length && left.unread.every((part, index) => isSameUnread(part, right.unread[index]))
--- a/control/workload/test/workload-table.test.ts
+++ b/control/workload/test/workload-table.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { type WorkSummary } from '@gullwall/transport.messages'
+import { type LoadSummary } from '@gullwall/transport.messages'
 import { WorkloadTable } from '../src/index.ts'
 
 const SEED = Number(process.env['FUZZ_SEED'] ?? 11)
@@ -8,7 +8,7 @@
 
 const all = () => true
 const unreadArbitrary = fc.record({ urgency: fc.nat(2), tokens: fc.integer({ min: 1, max: 9 }) })
-const workArbitrary: fc.Arbitrary<WorkSummary> = fc.record({
+const workArbitrary: fc.Arbitrary<LoadSummary> = fc.record({
   incarnation: fc.constantFrom('i-1', 'i-2', 'i-3'),
   running: fc.nat(3),
   strain: fc.constantFrom(0, 0.5, 1),
@@ -25,10 +25,10 @@
   it('gives the sums of what each source last told, and names each endpoint whose sum has changed', () => {
     fc.assert(fc.property(fc.array(stepArbitrary), (steps) => {
       const table = new WorkloadTable<string>()
-      const model = new Map<string, Map<string, WorkSummary>>()
+      const model = new Map<string, Map<string, LoadSummary>>()
       for (const { source, how, works } of steps) {
         const before = table.sumAt('i-1', all)
-        const known = how === 'update' ? model.get(source) ?? new Map<string, WorkSummary>() : new Map<string, WorkSummary>()
+        const known = how === 'update' ? model.get(source) ?? new Map<string, LoadSummary>() : new Map<string, LoadSummary>()
         if (how !== 'remove') for (const work of works) known.set(work.incarnation, work)
         model.set(source, known)
         const changed = how === 'replace' ? table.replace(source, works) : how === 'update' ? table.update(source, works) : table.remove(source)
@@ -68,6 +68,6 @@
   })
 })
 
-function tokensOf (works: readonly WorkSummary[]): number {
+function tokensOf (works: readonly LoadSummary[]): number {
   return works.flatMap(({ unread }) => unread).reduce((sum, { tokens }) => sum + tokens, 0)
 }
--- a/core/clock/src/index.ts
+++ b/core/clock/src/index.ts
@@ -26,7 +26,7 @@
   }
 
   /** For how long this process seems to have been suspended since it began, in ms; never less than before. */
-  slept (): number {
+  suspendedMs (): number {
     const ahead = this.clocks.wall() - this.clocks.steady()
     const gained = ahead - this.ahead
     if (gained >= LEAST_MS) this.sleptMs += gained
--- a/core/clock/test/suspension-watch.test.ts
+++ b/core/clock/test/suspension-watch.test.ts
@@ -22,23 +22,23 @@
       pass(50)
       wall += turn % 2 === 0 ? 3 : -3
     }
-    expect(watch.slept()).toBe(0)
+    expect(watch.suspendedMs()).toBe(0)
   })
 
   it('that was suspended has slept as long as its steady clock stood still, also twice', () => {
     wall += 4000
     pass(20)
-    expect(watch.slept()).toBe(4000)
+    expect(watch.suspendedMs()).toBe(4000)
     pass(1000)
     wall += 2000
-    expect(watch.slept()).toBe(6000)
-    expect(watch.slept()).toBe(6000)
+    expect(watch.suspendedMs()).toBe(6000)
+    expect(watch.suspendedMs()).toBe(6000)
   })
 
   it('whose time of day is set back has not slept, and notices when it is suspended afterwards', () => {
     wall -= 8000
-    expect(watch.slept()).toBe(0)
+    expect(watch.suspendedMs()).toBe(0)
     wall += 3000
-    expect(watch.slept()).toBe(3000)
+    expect(watch.suspendedMs()).toBe(3000)
   })
 })
