--- a/endpoint/crashes/src/crash-watch.ts
+++ b/endpoint/crashes/src/crash-detector.ts
@@ -10,25 +10,25 @@
 export type ProbeResult = 'refused' | 'open' | 'silent'
 
 /** One request that was running at an endpoint when its connection broke. */
-export interface BrokenRequest {
+export interface InterruptedRequest {
   requestId: string
   fingerprint: string
 }
 
 /** What is known of an endpoint here when a connection to it breaks. */
-export interface BrokenEndpoint {
+export interface DisconnectedEndpoint {
   incarnation: string
   address: string
   /** For how long nothing was heard of it though others were, in ms. */
   silentMs: number
 }
 
-export interface CrashWatchOptions {
+export interface CrashDetectorOptions {
   /** What the endpoint has said of itself; undefined if it has no lease. */
-  stateOf: (incarnation: string) => Lease['state'] | undefined
+  getLeaseState: (incarnation: string) => Lease['state'] | undefined
   isReplaced: (incarnation: string) => boolean
   /** Told of each crash with what was running there; more than once where connections break one after the other. */
-  onCrash: (endpoint: string, requests: BrokenRequest[]) => void
+  onCrash: (endpoint: string, requests: InterruptedRequest[]) => void
   probe?: (address: string) => Promise<ProbeResult>
   now?: () => number
 }
@@ -46,24 +46,24 @@
 const PROBE_MS = 400
 
 interface Watched {
-  requests: BrokenRequest[]
+  requests: InterruptedRequest[]
   since: number
   hasCrashed: boolean
 }
 
-export class CrashWatch {
+export class CrashDetector {
   private readonly watched = new Map<string, Watched>()
   private readonly now: () => number
   private readonly probe: (address: string) => Promise<ProbeResult>
   private timer: NodeJS.Timeout | undefined
 
-  constructor (private readonly options: CrashWatchOptions) {
+  constructor (private readonly options: CrashDetectorOptions) {
     this.now = options.now ?? (() => performance.now())
     this.probe = options.probe ?? probeAddress
   }
 
   start (): void {
-    this.timer = setInterval(() => this.look(), LOOK_MS)
+    this.timer = setInterval(() => this.check(), LOOK_MS)
   }
 
   stop (): void {
@@ -76,7 +76,7 @@
   }
 
   /** Notes that a connection ended by itself while a request was running there. */
-  noteBroken (endpoint: BrokenEndpoint, request: BrokenRequest): void {
+  recordBrokenConnection (endpoint: DisconnectedEndpoint, request: InterruptedRequest): void {
     const { incarnation, address, silentMs } = endpoint
     const known = this.watched.get(incarnation)
     if (known !== undefined) {
@@ -85,20 +85,20 @@
       return
     }
     const now = this.now()
-    if (this.options.stateOf(incarnation) !== 'ready' || silentMs > SILENT_MS) return
+    if (this.options.getLeaseState(incarnation) !== 'ready' || silentMs > SILENT_MS) return
     const watched: Watched = { requests: [request], since: now, hasCrashed: false }
     this.watched.set(incarnation, watched)
     void this.probe(address).then((result) => {
-      if (result === 'refused') this.noteEnded(incarnation)
+      if (result === 'refused') this.recordProcessEnd(incarnation)
       if (result === 'silent' && !watched.hasCrashed) this.watched.delete(incarnation)
     })
   }
 
   /** Notes that an endpoint's process is no longer at its address. */
-  noteEnded (incarnation: string): void {
+  recordProcessEnd (incarnation: string): void {
     const known = this.watched.get(incarnation)
     if (known === undefined || known.hasCrashed) return
-    if (this.options.stateOf(incarnation) !== 'ready') {
+    if (this.options.getLeaseState(incarnation) !== 'ready') {
       this.watched.delete(incarnation)
       return
     }
@@ -107,10 +107,10 @@
   }
 
   /** Looks for crashes that show late, and forgets what is over; called at even intervals. */
-  look (): void {
+  check (): void {
     const now = this.now()
     for (const [incarnation, { since, hasCrashed }] of this.watched) {
-      if (!hasCrashed && this.options.isReplaced(incarnation)) this.noteEnded(incarnation)
+      if (!hasCrashed && this.options.isReplaced(incarnation)) this.recordProcessEnd(incarnation)
       else if (now - since > (hasCrashed ? CRASHED_KEPT_MS : LOOKED_FOR_MS)) this.watched.delete(incarnation)
     }
   }
--- a/endpoint/crashes/src/crash-reporter.ts
+++ b/endpoint/crashes/src/crash-reporter.ts
@@ -1,7 +1,7 @@
 /** Tells control what was running at endpoints that crashed, again until a quorum has it. */
 import { messageOf } from '@gullwall/core.error'
 import { type Logger } from '@gullwall/core.logger'
-import { blamed, type Crash } from '@gullwall/routing.quarantine'
+import { findCrashCauses, type Crash } from '@gullwall/routing.quarantine'
 import { type MessageOf } from '@gullwall/transport.messages'
 
 /** What breaks with one crash is told together after this time, in ms. */
@@ -17,14 +17,14 @@
 const ALONE_MS = 1000
 
 export interface CrashReporterOptions {
-  tell: (word: Omit<MessageOf<'crashes'>, 'kind'>) => Promise<void>
+  sendReport: (word: Omit<MessageOf<'crashes'>, 'kind'>) => Promise<void>
   logger: Logger
   now?: () => number
 }
 
 export class CrashReporter {
   /** Crashes with requests since the start. */
-  crashes = 0
+  crashCount = 0
   private untold: Crash[] = []
   /** Requests that ran well after they had been running at a crash. */
   private ranWell: string[] = []
@@ -47,8 +47,8 @@
   }
 
   /** Notes what was running at an endpoint that has crashed. */
-  note (crash: Crash): void {
-    this.crashes += 1
+  recordCrash (crash: Crash): void {
+    this.crashCount += 1
     this.untold = [...this.untold, crash].slice(-MAX_UNTOLD)
     this.heldAlone = undefined
     for (const fingerprint of crash.requests) {
@@ -60,7 +60,7 @@
   }
 
   /** Notes that an endpoint has run a request and lives; the fingerprint is only taken where it may be of use. */
-  noteRanWell (fingerprintOf: () => string): void {
+  recordSuccess (fingerprintOf: () => string): void {
     if (this.watched.size === 0) return
     const fingerprint = fingerprintOf()
     if (!this.watched.delete(fingerprint)) return
@@ -69,10 +69,10 @@
   }
 
   /** Requests to hold by what this process alone has seen; none while control can be told, which knows more. */
-  get heldWithoutControl (): ReadonlySet<string> {
+  get locallyQuarantined (): ReadonlySet<string> {
     const isAlone = this.untoldSince !== undefined && this.now() - this.untoldSince > ALONE_MS
     if (!isAlone) return NONE
-    this.heldAlone ??= new Set(blamed({ crashes: byEndpoint(this.untold), held: NONE, suspected: NONE }))
+    this.heldAlone ??= new Set(findCrashCauses({ crashes: byEndpoint(this.untold), quarantined: NONE, formerlyQuarantined: NONE }))
     return this.heldAlone
   }
 
@@ -93,7 +93,7 @@
     const ranWell = this.ranWell
     let waitMs = TELL_MS
     try {
-      await this.options.tell({ crashes, ranWell })
+      await this.options.sendReport({ crashes, ranWell })
       this.untold = this.untold.filter((crash) => !crashes.includes(crash))
       this.ranWell = this.ranWell.filter((fingerprint) => !ranWell.includes(fingerprint))
       this.heldAlone = undefined
--- a/endpoint/crashes/src/index.ts
+++ b/endpoint/crashes/src/index.ts
@@ -1,3 +1,3 @@
 /** Which endpoints crash, and what was running there. */
 export * from './crash-reporter.ts'
-export * from './crash-watch.ts'
+export * from './crash-detector.ts'
--- a/endpoint/crashes/test/crash-watch.test.ts
+++ b/endpoint/crashes/test/crash-detector.test.ts
@@ -1,11 +1,11 @@
 import { beforeEach, describe, expect, it } from 'vitest'
 import { createServer, type AddressInfo } from 'node:net'
 import { type Lease } from '@gullwall/transport.messages'
-import { CrashWatch, probeAddress, type BrokenRequest, type ProbeResult } from '../src/crash-watch.ts'
+import { CrashDetector, probeAddress, type InterruptedRequest, type ProbeResult } from '../src/crash-detector.ts'
 
 const ENGINE = { incarnation: 'i-1', address: '127.0.0.1:1', silentMs: 0 }
-const FIRST: BrokenRequest = { requestId: 'r1', fingerprint: 'f1' }
-const SECOND: BrokenRequest = { requestId: 'r2', fingerprint: 'f2' }
+const FIRST: InterruptedRequest = { requestId: 'r1', fingerprint: 'f1' }
+const SECOND: InterruptedRequest = { requestId: 'r2', fingerprint: 'f2' }
 
 /** Lets what waits for a probe go on. */
 const settled = async () => { await new Promise((resolve) => setImmediate(resolve)) }
@@ -16,8 +16,8 @@
   let isReplaced: boolean
   let probed: ProbeResult
   let probes: number
-  let told: Array<{ endpoint: string, requests: BrokenRequest[] }>
-  let watch: CrashWatch
+  let told: Array<{ endpoint: string, requests: InterruptedRequest[] }>
+  let watch: CrashDetector
 
   beforeEach(() => {
     now = 1000
@@ -26,8 +26,8 @@
     probed = 'refused'
     probes = 0
     told = []
-    watch = new CrashWatch({
-      stateOf: () => state,
+    watch = new CrashDetector({
+      getLeaseState: () => state,
       isReplaced: () => isReplaced,
       onCrash: (endpoint, requests) => told.push({ endpoint, requests }),
       probe: async () => {
@@ -39,11 +39,11 @@
   })
 
   it('has crashed where its address refuses connections; all that ran there is told, also what breaks later', async () => {
-    watch.noteBroken(ENGINE, FIRST)
-    watch.noteBroken(ENGINE, SECOND)
+    watch.recordBrokenConnection(ENGINE, FIRST)
+    watch.recordBrokenConnection(ENGINE, SECOND)
     await settled()
     expect(told).toEqual([{ endpoint: 'i-1', requests: [FIRST, SECOND] }])
-    watch.noteBroken(ENGINE, { requestId: 'r3', fingerprint: 'f3' })
+    watch.recordBrokenConnection(ENGINE, { requestId: 'r3', fingerprint: 'f3' })
     expect(told.at(-1)?.requests).toEqual([{ requestId: 'r3', fingerprint: 'f3' }])
     expect(probes).toBe(1)
   })
@@ -57,11 +57,11 @@
   ])('has not crashed where %s', async (_what, change) => {
     state = change.state ?? 'ready'
     probed = change.probed ?? 'refused'
-    watch.noteBroken({ ...ENGINE, silentMs: change.silentMs ?? 0 }, FIRST)
+    watch.recordBrokenConnection({ ...ENGINE, silentMs: change.silentMs ?? 0 }, FIRST)
     await settled()
     for (let turn = 0; turn < 50; turn += 1) {
       now += 100
-      watch.look()
+      watch.check()
     }
     expect(told).toEqual([])
     expect(watch.size).toBe(0)
@@ -69,46 +69,46 @@
 
   it('has crashed where its successor is there already, as a box finds that was suspended meanwhile', async () => {
     probed = 'open'
-    watch.noteBroken(ENGINE, FIRST)
+    watch.recordBrokenConnection(ENGINE, FIRST)
     await settled()
-    watch.look()
+    watch.check()
     expect(told).toEqual([])
     isReplaced = true
-    watch.look()
+    watch.check()
     expect(told).toEqual([{ endpoint: 'i-1', requests: [FIRST] }])
   })
 
   it('has crashed where another request finds that nothing listens there', async () => {
     probed = 'open'
-    watch.noteBroken(ENGINE, FIRST)
+    watch.recordBrokenConnection(ENGINE, FIRST)
     await settled()
-    watch.noteEnded('i-1')
+    watch.recordProcessEnd('i-1')
     expect(told.length).toBe(1)
   })
 
   it('has not crashed where its word that it leaves comes a little later than the end of its connections', async () => {
     probed = 'open'
-    watch.noteBroken(ENGINE, FIRST)
+    watch.recordBrokenConnection(ENGINE, FIRST)
     await settled()
     state = 'gone'
-    watch.noteEnded('i-1')
+    watch.recordProcessEnd('i-1')
     expect(told).toEqual([])
   })
 
   it('has crashed for good where that showed before a look at its address timed out', async () => {
     probed = 'silent'
-    watch.noteBroken(ENGINE, FIRST)
-    watch.noteEnded('i-1')
+    watch.recordBrokenConnection(ENGINE, FIRST)
+    watch.recordProcessEnd('i-1')
     await settled()
-    watch.noteBroken(ENGINE, SECOND)
+    watch.recordBrokenConnection(ENGINE, SECOND)
     expect(told.map(({ requests }) => requests)).toEqual([[FIRST], [SECOND]])
   })
 
   it('is forgotten some seconds after a crash', async () => {
-    watch.noteBroken(ENGINE, FIRST)
+    watch.recordBrokenConnection(ENGINE, FIRST)
     await settled()
     now += 11_000
-    watch.look()
+    watch.check()
     expect(watch.size).toBe(0)
   })
 })
--- a/endpoint/crashes/test/crash-reporter.test.ts
+++ b/endpoint/crashes/test/crash-reporter.test.ts
@@ -15,7 +15,7 @@
     canTell = true
     reporter = new CrashReporter({
       logger: { sampled: () => {} } as never,
-      tell: async (word) => {
+      sendReport: async (word) => {
         if (!canTell) throw new Error('no quorum')
         words.push(word)
       }
@@ -26,7 +26,7 @@
     vi.useRealTimers()
   })
 
-  const crash = (number: number, ...requests: string[]) => reporter.note({ endpoint: `i-${number}`, requests })
+  const crash = (number: number, ...requests: string[]) => reporter.recordCrash({ endpoint: `i-${number}`, requests })
 
   it('is told together, once', async () => {
     crash(1, 'a')
@@ -47,20 +47,20 @@
   it('decides here while nobody can be told, and no longer once control knows', async () => {
     canTell = false
     for (const number of [1, 2, 3]) crash(number, 'a', `only-${number}`)
-    expect(reporter.heldWithoutControl.size).toBe(0)
+    expect(reporter.locallyQuarantined.size).toBe(0)
     await vi.advanceTimersByTimeAsync(1500)
-    expect([...reporter.heldWithoutControl]).toEqual(['a'])
+    expect([...reporter.locallyQuarantined]).toEqual(['a'])
     canTell = true
     await vi.advanceTimersByTimeAsync(1000)
-    expect(reporter.heldWithoutControl.size).toBe(0)
+    expect(reporter.locallyQuarantined.size).toBe(0)
   })
 
   it('is taken back for a request that runs well afterwards, and asks for no fingerprint where nothing is watched', async () => {
-    reporter.noteRanWell(() => { throw new Error('not needed') })
+    reporter.recordSuccess(() => { throw new Error('not needed') })
     crash(1, 'a')
-    reporter.noteRanWell(() => 'another')
-    reporter.noteRanWell(() => 'a')
-    reporter.noteRanWell(() => 'a')
+    reporter.recordSuccess(() => 'another')
+    reporter.recordSuccess(() => 'a')
+    reporter.recordSuccess(() => 'a')
     await vi.advanceTimersByTimeAsync(100)
     expect(words.flatMap(({ ranWell }) => ranWell)).toEqual(['a'])
   })
--- a/endpoint/dialect/src/index.ts
+++ b/endpoint/dialect/src/index.ts
@@ -16,7 +16,7 @@
 }
 
 /** Takes a back end's answer as it arrives. */
-export interface AnswerReceiver {
+export interface ResponseReceiver {
   onHead: (status: number, headers: IncomingHttpHeaders) => void
   /** A promise holds the back end up until it resolves. */
   onData: (chunk: Buffer) => Promise<void> | undefined
@@ -28,7 +28,7 @@
 }
 
 /** The head of any answer of a back end, interim ones included. */
-export interface AnyHead {
+export interface ResponseHead {
   status: number
   headers: IncomingHttpHeaders
   /** When the request was sent that it answers, by the monotonic clock. */
@@ -36,7 +36,7 @@
 }
 
 /** Told of each head that a back end sends, whatever it was asked. */
-export type HeadListener = (head: AnyHead) => void
+export type ResponseHeadListener = (head: ResponseHead) => void
 
 /** One back end. */
 export interface Endpoint {
@@ -45,9 +45,9 @@
    * @throws ERR_GULLWALL_ENDPOINT_REFUSED if it was certainly not run,
    *   ERR_GULLWALL_ENDPOINT_FAILED if that can't be told.
    */
-  run (call: EndpointCall, receiver: AnswerReceiver): Promise<void>
+  run (call: EndpointCall, receiver: ResponseReceiver): Promise<void>
   /** Reads the load report, where the dialect has one. */
-  reportedLoad? (): Promise<ReportedLoad>
+  readReportedLoad? (): Promise<ReportedLoad>
   /** Asks for a head only, for what the back end says of itself; it is no work. */
   probe (): Promise<void>
   close (): Promise<void>
--- a/endpoint/http/src/exchange.ts
+++ b/endpoint/http/src/exchange.ts
@@ -4,14 +4,15 @@
  * them, which would cost a turn of the event loop and a buffer for each chunk.
  */
 import { type Dispatcher, type Pool } from 'undici'
-import { type AnswerReceiver, type HeadListener } from '@gullwall/endpoint.dialect'
+import { type ResponseReceiver, type ResponseHeadListener } from '@gullwall/endpoint.dialect'
 
 /** The lowest status of an answer; those below it precede one. */
 const FINAL = 200
 
 /** Sends a request; resolves when the answer is whole, rejects if it breaks or the signal aborts it. */
 export function exchange (
-  pool: Pool, options: Dispatcher.DispatchOptions, receiver: AnswerReceiver, signal: AbortSignal, onAnyHead: HeadListener = () => {}
+  pool: Pool, options: Dispatcher.DispatchOptions, receiver: ResponseReceiver, signal: AbortSignal,
+  onAnyHead: ResponseHeadListener = () => {}
 ): Promise<void> {
   let sentAt = performance.now()
   return new Promise((resolve, reject) => {
--- a/endpoint/http/src/index.ts
+++ b/endpoint/http/src/index.ts
@@ -1,7 +1,7 @@
 /** What the HTTP dialects have in common: one pool of connections to a back end by undici. */
 import { Pool, type Dispatcher } from 'undici'
 import { GullwallError } from '@gullwall/core.error'
-import { type AnswerReceiver, type Endpoint, type EndpointCall, type HeadListener } from '@gullwall/endpoint.dialect'
+import { type ResponseReceiver, type Endpoint, type EndpointCall, type ResponseHeadListener } from '@gullwall/endpoint.dialect'
 import { exchange } from './exchange.ts'
 
 export { exchange } from './exchange.ts'
@@ -22,7 +22,7 @@
 }
 
 /** Gives the headers that may be passed on, without those named in `Connection` either. */
-export function endToEndHeaders (headers: Record<string, string | string[] | undefined>): Record<string, string | string[]> {
+export function selectEndToEndHeaders (headers: Record<string, string | string[] | undefined>): Record<string, string | string[]> {
   const named = String(headers['connection'] ?? '').toLowerCase().split(',').map((name) => name.trim())
   const kept: Record<string, string | string[]> = {}
   for (const [name, value] of Object.entries(headers)) {
@@ -43,11 +43,13 @@
   private readonly pool: Pool
 
   /** @param onAnyHead told of each head that arrives */
-  constructor (private readonly name: string, private readonly address: string, private readonly onAnyHead: HeadListener = () => {}) {
+  constructor (
+    private readonly name: string, private readonly address: string, private readonly onAnyHead: ResponseHeadListener = () => {}
+  ) {
     this.pool = createPool(address)
   }
 
-  async run (call: EndpointCall, receiver: AnswerReceiver): Promise<void> {
+  async run (call: EndpointCall, receiver: ResponseReceiver): Promise<void> {
     const options = { method: call.method as Dispatcher.HttpMethod, path: call.path, headers: call.headers, body: call.body }
     try {
       await exchange(this.pool, options, receiver, call.signal, this.onAnyHead)
--- a/endpoint/notices/src/retry-after.ts
+++ b/endpoint/notices/src/retry-after.ts
@@ -11,7 +11,7 @@
 const NAMES_ZONE = /(?:GMT|UTC|[+-]\d{4})$/
 
 /** When the answer was made, for a date in it. */
-export interface AnswerTime {
+export interface ResponseTime {
   /** The answer's own `Date` header, which goes by the same clock as a date in `Retry-After`. */
   date: string | undefined
   /** The time of day here, Unix ms, where the answer does not tell its own. */
@@ -19,7 +19,7 @@
 }
 
 /** Gives the time that is asked for, in ms, 0 where it has passed already; undefined if it can not be understood. */
-export function readRetryAfter (text: string, { date, now }: AnswerTime): number | undefined {
+export function parseRetryAfter (text: string, { date, now }: ResponseTime): number | undefined {
   const trimmed = text.trim()
   if (SECONDS.test(trimmed)) return Math.min(MAX_BACKOFF_MS, Number(trimmed) * MS_PER_SECOND)
   const until = readDate(trimmed)
--- a/endpoint/notices/test/notices.test.ts
+++ b/endpoint/notices/test/notices.test.ts
@@ -1,12 +1,12 @@
 /** What endpoints say of themselves, in the forms in which they say it. */
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { MAX_BACKOFF_MS, readNotices, readRetryAfter } from '../src/index.ts'
+import { MAX_BACKOFF_MS, parseNotices, parseRetryAfter } from '../src/index.ts'
 
 const NOW = Date.parse('Thu, 03 Dec 2026 10:00:00 GMT')
-const read = (text: string, date?: string) => readRetryAfter(text, { date, now: NOW })
+const read = (text: string, date?: string) => parseRetryAfter(text, { date, now: NOW })
 const notices = (status: number, headers: Record<string, string | string[]>) => (
-  readNotices({ status, headers, drainingHeader: 'x-leaving', now: NOW })
+  parseNotices({ status, headers, drainingHeader: 'x-leaving', now: NOW })
 )
 
 describe('the time that is asked for', () => {
@@ -48,15 +48,15 @@
   })
 
   it('ask for a rest only where work is turned away', () => {
-    expect(notices(503, { 'retry-after': '3' }).backOffMs).toBe(3000)
-    expect(notices(429, { 'retry-after': '3' }).backOffMs).toBe(3000)
-    for (const status of [200, 301, 413, 500]) expect(notices(status, { 'retry-after': '3' }).backOffMs).toBeUndefined()
-    expect(notices(503, {})).toEqual({ isDraining: false, backOffMs: undefined, limit: { perSecond: undefined } })
+    expect(notices(503, { 'retry-after': '3' }).backoffMs).toBe(3000)
+    expect(notices(429, { 'retry-after': '3' }).backoffMs).toBe(3000)
+    for (const status of [200, 301, 413, 500]) expect(notices(status, { 'retry-after': '3' }).backoffMs).toBeUndefined()
+    expect(notices(503, {})).toEqual({ isDraining: false, backoffMs: undefined, limit: { perSecond: undefined } })
   })
 
   it('take the longest of several values, and pass over what can not be understood', () => {
-    expect(notices(503, { 'retry-after': ['1', 'soon', '4'] }).backOffMs).toBe(4000)
-    expect(notices(503, { 'retry-after': ['soon', 'later'] })).toEqual({ isDraining: false, backOffMs: undefined, limit: { perSecond: undefined }, unreadable: 'soon | later' })
+    expect(notices(503, { 'retry-after': ['1', 'soon', '4'] }).backoffMs).toBe(4000)
+    expect(notices(503, { 'retry-after': ['soon', 'later'] })).toEqual({ isDraining: false, backoffMs: undefined, limit: { perSecond: undefined }, unreadable: 'soon | later' })
   })
 })
 
--- a/endpoint/openai/src/engine.ts
+++ b/endpoint/openai/src/engine.ts
@@ -1,6 +1,6 @@
 /** A model engine. */
 import { z } from 'zod'
-import { type AnswerReceiver, type Endpoint, type EndpointCall, type HeadListener, type ReportedLoad } from '@gullwall/endpoint.dialect'
+import { type ResponseReceiver, type Endpoint, type EndpointCall, type ResponseHeadListener, type ReportedLoad } from '@gullwall/endpoint.dialect'
 import { HttpEndpoint } from '@gullwall/endpoint.http'
 
 export const CHAT_PATH = '/v1/chat/completions'
@@ -11,15 +11,15 @@
   private readonly http: HttpEndpoint
 
   /** @param onAnyHead told of each head that arrives */
-  constructor (name: string, address: string, onAnyHead?: HeadListener) {
+  constructor (name: string, address: string, onAnyHead?: ResponseHeadListener) {
     this.http = new HttpEndpoint(name, address, onAnyHead)
   }
 
-  run (call: EndpointCall, receiver: AnswerReceiver): Promise<void> {
+  run (call: EndpointCall, receiver: ResponseReceiver): Promise<void> {
     return this.http.run(call, receiver)
   }
 
-  async reportedLoad (): Promise<ReportedLoad> {
+  async readReportedLoad (): Promise<ReportedLoad> {
     const report = loadSchema.parse(await this.http.getJson(LOAD_PATH))
     return { inFlight: report.in_flight }
   }
--- a/endpoint/openai/src/request-body.ts
+++ b/endpoint/openai/src/request-body.ts
@@ -13,7 +13,7 @@
 export type ChatRequest = z.infer<typeof chatRequestSchema>
 
 /** What was answered before a stream broke off. */
-export interface PartialAnswer {
+export interface PartialCompletion {
   text: string
   /** Events with content, one token each. */
   tokens: number
@@ -23,13 +23,13 @@
  * Adds the priority to a JSON body without writing it anew. The last of two
  * equal keys counts, so a caller can't set its own.
  */
-export function withPriority (body: Buffer, priority: number): Buffer {
+export function addPriority (body: Buffer, priority: number): Buffer {
   const brace = body.lastIndexOf('}')
   return Buffer.concat([body.subarray(0, brace), Buffer.from(`,"priority":${priority}}`)])
 }
 
 /** Gives the body that goes on after a partial answer. */
-export function resumedBody (body: Buffer, partial: PartialAnswer): Buffer {
+export function createResumeBody (body: Buffer, partial: PartialCompletion): Buffer {
   const request = JSON.parse(body.toString('utf8')) as ChatRequest
   const resumed: Record<string, unknown> = {
     ...request,
--- a/endpoint/openai/src/sse.ts
+++ b/endpoint/openai/src/sse.ts
@@ -5,7 +5,7 @@
 import { type IncomingHttpHeaders } from 'node:http'
 import { createParser } from 'eventsource-parser'
 import { z } from 'zod'
-import { type PartialAnswer } from './request-body.ts'
+import { type PartialCompletion } from './request-body.ts'
 
 const EVENT_END = Buffer.from('\n\n')
 const DONE_EVENT = Buffer.from('data: [DONE]\n\n')
@@ -22,14 +22,14 @@
 const END_REASONS: readonly EndReason[] = ['preempted', 'engine-failed', 'stalled']
 
 /** The last event of a stream that a sidecar ends early: a comment, which callers' parsers pass over. */
-export function endComment (reason: EndReason): string {
+export function formatEndComment (reason: EndReason): string {
   return `${END_COMMENT}${reason}\n\n`
 }
 
 /** Splits a stream at the ends of events. */
 export class EventRelay {
   /** The stream's last event was `[DONE]`. */
-  done = false
+  isDone = false
   /** Why the sidecar ended the stream, if it did. */
   endReason: EndReason | undefined
   private tail: Buffer | undefined
@@ -48,7 +48,7 @@
   }
 
   private withoutEndComment (events: Buffer): Buffer | undefined {
-    if (endsWith(events, DONE_EVENT)) this.done = true
+    if (endsWith(events, DONE_EVENT)) this.isDone = true
     const lastStart = startOfLastEvent(events)
     const last = events.subarray(lastStart)
     if (last[0] !== END_COMMENT.charCodeAt(0)) return events
@@ -69,14 +69,14 @@
 })
 
 /** What has been answered so far, read from the raw events when a stream must be resumed. */
-export interface AnswerSoFar extends PartialAnswer {
+export interface StreamedCompletion extends PartialCompletion {
   id: string | undefined
   created: number | undefined
-  finished: boolean
+  isFinished: boolean
 }
 
-export function readAnswer (chunks: readonly Buffer[]): AnswerSoFar {
-  const answer: AnswerSoFar = { text: '', tokens: 0, id: undefined, created: undefined, finished: false }
+export function readCompletion (chunks: readonly Buffer[]): StreamedCompletion {
+  const answer: StreamedCompletion = { text: '', tokens: 0, id: undefined, created: undefined, isFinished: false }
   forEachChunk(Buffer.concat(chunks).toString('utf8'), (chunk) => {
     answer.id ??= chunk.id
     answer.created ??= chunk.created
@@ -84,7 +84,7 @@
     const content = choice?.delta?.content ?? ''
     if (content !== '') answer.tokens += 1
     answer.text += content
-    if (typeof choice?.finish_reason === 'string') answer.finished = true
+    if (typeof choice?.finish_reason === 'string') answer.isFinished = true
   })
   return answer
 }
@@ -93,7 +93,7 @@
  * Rewrites events of a resumed stream to read as one answer with what came
  * before: the first answer's id, and no second opening role.
  */
-export function rewriteResumed (events: Buffer, before: AnswerSoFar): Buffer {
+export function rewriteResumedEvents (events: Buffer, before: StreamedCompletion): Buffer {
   let out = ''
   const parser = createParser({
     onEvent: ({ data }) => {
--- a/entry/answers/src/attempt.ts
+++ b/entry/answers/src/attempt.ts
@@ -3,9 +3,9 @@
 import { type Dispatcher as UndiciDispatcher, type Pool } from 'undici'
 import { messageOf } from '@gullwall/core.error'
 import { type Ran } from '@gullwall/core.types'
-import { type AnswerReceiver } from '@gullwall/endpoint.dialect'
-import { endToEndHeaders, exchange, wasNotSent } from '@gullwall/endpoint.http'
-import { EventRelay, isEventStream, rewriteResumed, type AnswerSoFar } from '@gullwall/endpoint.openai'
+import { type ResponseReceiver } from '@gullwall/endpoint.dialect'
+import { selectEndToEndHeaders, exchange, wasNotSent } from '@gullwall/endpoint.http'
+import { EventRelay, isEventStream, rewriteResumedEvents, type StreamedCompletion } from '@gullwall/endpoint.openai'
 import {
   ATTEMPT_PREFIX, readRefusal, withoutOwnHeaders, writeHead, type AttemptHead, type AttemptRefusal, type AttemptRefused
 } from '@gullwall/transport.attempt'
@@ -40,7 +40,7 @@
   /** Keeps what was answered, for a resume. */
   keep: (events: Buffer) => void
   /** What was answered before, if this attempt resumes a stream. */
-  resumes: AnswerSoFar | undefined
+  resumes: StreamedCompletion | undefined
 }
 
 export async function runAttempt (options: AttemptOptions): Promise<AttemptOutcome> {
@@ -70,7 +70,7 @@
 }
 
 /** Passes a sidecar's answer on to the caller. */
-class AnswerRelay implements AnswerReceiver {
+class AnswerRelay implements ResponseReceiver {
   hasHead = false
   private status = 0
   private headers: IncomingHttpHeaders = {}
@@ -105,7 +105,7 @@
       const why = this.refusalText
       return refusal.ran === 'no' ? { kind: 'not-run', reason: refusal.reason, why } : { kind: 'broken', ...refusal, why }
     }
-    if (this.isStream && !this.events.done) {
+    if (this.isStream && !this.events.isDone) {
       return { kind: 'broken', ran: 'partly', reason: this.endReason(), why: 'the stream ended before its answer was whole' }
     }
     this.beginAnswer()
@@ -117,7 +117,7 @@
     const { resumes, timing, keep, caller } = this.options
     const whole = this.events.push(chunk)
     if (whole === undefined) return undefined
-    const bytes = resumes === undefined ? whole : rewriteResumed(whole, resumes)
+    const bytes = resumes === undefined ? whole : rewriteResumedEvents(whole, resumes)
     if (bytes.length === 0) return undefined
     timing.noteToken()
     keep(bytes)
@@ -134,7 +134,7 @@
 
   private beginAnswer (): void {
     const { caller } = this.options
-    if (!caller.hasBegun) caller.begin(this.status, withoutOwnHeaders(endToEndHeaders(this.headers)))
+    if (!caller.hasBegun) caller.begin(this.status, withoutOwnHeaders(selectEndToEndHeaders(this.headers)))
   }
 
   private endReason (): AttemptRefusal | 'lost' {
--- a/entry/answers/src/request-run.ts
+++ b/entry/answers/src/request-run.ts
@@ -3,7 +3,7 @@
 import { type IdSequence } from '@gullwall/core.ids'
 import { type RoutingRecord } from '@gullwall/core.logger'
 import { type Ran } from '@gullwall/core.types'
-import { readAnswer, resumedBody, withPriority, type AnswerSoFar } from '@gullwall/endpoint.openai'
+import { readCompletion, createResumeBody, addPriority, type StreamedCompletion } from '@gullwall/endpoint.openai'
 import { type DecisionLog } from '@gullwall/routing.decision-log'
 import { type Dispatcher, type Grant, type Refusal, type RoutedRequest } from '@gullwall/routing.dispatcher'
 import { type RetryBudget } from '@gullwall/routing.limits'
@@ -85,7 +85,7 @@
     for (;;) {
       const held = this.services.whyHeld(this.request.fingerprint)
       if (held !== undefined) return this.refuseHeld(held)
-      const submitted = this.services.dispatcher.submit(this.request, { front: this.hasBeenGranted })
+      const submitted = this.services.dispatcher.submit(this.request, { atFront: this.hasBeenGranted })
       this.logWait()
       const granted = await submitted
       const ended = await granted.caseOf({
@@ -100,7 +100,7 @@
   private async attempt (grant: Grant): Promise<RunResult | undefined> {
     const { services, request, caller } = this
     if (caller.isGone) {
-      services.dispatcher.finished(grant, true)
+      services.dispatcher.completeGrant(grant, true)
       return this.result('cancelled')
     }
     this.attempts += 1
@@ -108,7 +108,7 @@
     const attemptId = services.attemptIds.next()
     const resumes = this.answerSoFar()
     this.logGrant(grant, attemptId, resumes)
-    if (resumes?.finished === true) return this.finishWhole(grant)
+    if (resumes?.isFinished === true) return this.finishWhole(grant)
     const move = new AbortController()
     const onEjected = () => move.abort()
     if (this.isMovable) services.dispatcher.ejections.once(grant.endpoint, onEjected)
@@ -124,7 +124,7 @@
       keep: (events) => this.keep(events)
     })
     services.dispatcher.ejections.off(grant.endpoint, onEjected)
-    services.dispatcher.finished(grant, outcome.kind === 'whole' || outcome.kind === 'cancelled')
+    services.dispatcher.completeGrant(grant, outcome.kind === 'whole' || outcome.kind === 'cancelled')
     request.late = 'serve'
     return this.settle(outcome, grant, attemptId)
   }
@@ -133,7 +133,7 @@
     switch (outcome.kind) {
       case 'whole':
         this.ran = 'yes'
-        this.services.retryBudget.noteSuccess()
+        this.services.retryBudget.recordSuccess()
         this.log('finish', `answered with ${outcome.status}`, grant, attemptId)
         return this.result('answered', outcome.status)
       case 'cancelled':
@@ -149,14 +149,14 @@
 
   private settleNotRun (reason: string, why: string, grant: Grant, attemptId: string): RunResult | undefined {
     if (reason === 'busy') {
-      this.services.dispatcher.noteBusy(grant.endpoint)
+      this.services.dispatcher.recordBusy(grant.endpoint)
       this.log('wait', 'the slot was taken', grant, attemptId)
       this.attempts -= 1
       return undefined
     }
-    this.request.avoid.add(grant.endpoint)
+    this.request.avoidedEndpoints.add(grant.endpoint)
     // What an endpoint has turned away arrived there; to send it on is a repeat.
-    if (reason === 'turned-away' && !this.services.retryBudget.take()) return this.fail(503, 'retry_budget_spent', `not run: ${why}`, grant)
+    if (reason === 'turned-away' && !this.services.retryBudget.tryTake()) return this.fail(503, 'retry_budget_spent', `not run: ${why}`, grant)
     if (this.attempts < MAX_ATTEMPTS) {
       this.log('retry', `not run: ${reason}`, grant, attemptId)
       return undefined
@@ -172,15 +172,15 @@
       this.preemptions += 1
       this.attempts -= 1
     } else if (outcome.reason === 'moved') {
-      request.avoid.add(grant.endpoint)
+      request.avoidedEndpoints.add(grant.endpoint)
     } else {
-      request.avoid.add(grant.endpoint)
-      if (outcome.reason === 'stalled') services.dispatcher.health.noteStall(grant.endpoint)
+      request.avoidedEndpoints.add(grant.endpoint)
+      if (outcome.reason === 'stalled') services.dispatcher.health.recordStall(grant.endpoint)
       if (!request.repeatable) return this.fail(502, 'may_have_run', `it may have run and is not repeated: ${why}`, grant)
       if (outcome.reason === 'endpoint-failed') this.brokenOff += 1
       const isSpent = this.attempts >= MAX_ATTEMPTS || this.brokenOff >= MAX_BROKEN_OFF
       if (isSpent) return this.fail(502, 'endpoints_failed', why, grant)
-      if (!services.retryBudget.take()) return this.fail(502, 'retry_budget_spent', why, grant)
+      if (!services.retryBudget.tryTake()) return this.fail(502, 'retry_budget_spent', why, grant)
     }
     if (caller.hasBegun && (!request.resumable || !this.keepsAll)) return this.fail(502, 'broken_off', why, grant)
     this.log(caller.hasBegun ? 'resume' : 'retry', why, grant, attemptId)
@@ -189,14 +189,14 @@
 
   private refused (refusal: Refusal): RunResult {
     if (refusal.reason === 'cancelled') {
-      this.log('cancel', refusal.why)
+      this.log('cancel', refusal.explanation)
       return this.result('cancelled')
     }
-    this.log('refuse', `${refusal.reason}: ${refusal.why}`)
+    this.log('refuse', `${refusal.reason}: ${refusal.explanation}`)
     this.caller.fail({
       status: 503,
       code: refusal.reason.replaceAll('-', '_'),
-      message: `${this.ran === 'no' ? 'not run' : 'not finished'}: ${refusal.why}`,
+      message: `${this.ran === 'no' ? 'not run' : 'not finished'}: ${refusal.explanation}`,
       ran: this.ran,
       step: 'queue',
       retryAfterMs: refusal.retryAfterMs
@@ -227,7 +227,7 @@
 
   /** The text was whole when the stream broke; only its last event is missing. */
   private finishWhole (grant: Grant): RunResult {
-    this.services.dispatcher.finished(grant, true)
+    this.services.dispatcher.completeGrant(grant, true)
     void this.caller.write(Buffer.from('data: [DONE]\n\n'))
     this.caller.end()
     this.ran = 'yes'
@@ -256,16 +256,16 @@
     this.joined = this.kept.length
   }
 
-  private answerSoFar (): AnswerSoFar | undefined {
+  private answerSoFar (): StreamedCompletion | undefined {
     if (!this.caller.hasBegun) return undefined
-    return readAnswer(this.kept)
+    return readCompletion(this.kept)
   }
 
-  private call (resumes: AnswerSoFar | undefined): AttemptCall {
+  private call (resumes: StreamedCompletion | undefined): AttemptCall {
     const { call, kind, tier } = this.request
     if (kind !== 'engine' || call.body === undefined) return call
-    const body = resumes === undefined ? call.body : resumedBody(call.body, resumes)
-    const prioritised = withPriority(body, tier)
+    const body = resumes === undefined ? call.body : createResumeBody(call.body, resumes)
+    const prioritised = addPriority(body, tier)
     return { ...call, body: prioritised, headers: { ...call.headers, 'content-length': String(prioritised.length) } }
   }
 
@@ -295,14 +295,14 @@
   }
 
   private logWait (): void {
-    const ahead = this.services.dispatcher.waitingBehind(this.request)
+    const ahead = this.services.dispatcher.findQueuePosition(this.request)
     if (ahead !== undefined) this.log('wait', `no slot is free; ${ahead} ahead`)
   }
 
-  private logGrant (grant: Grant, attemptId: string, resumes: AnswerSoFar | undefined): void {
-    const reach = this.services.dispatcher.directory.reachOf(this.request)
-    const usable = this.services.dispatcher.usable(this.request)
-    this.log('dispatch', resumes === undefined ? grant.why : `${grant.why}; goes on after ${resumes.tokens} tokens`, grant, attemptId, {
+  private logGrant (grant: Grant, attemptId: string, resumes: StreamedCompletion | undefined): void {
+    const reach = this.services.dispatcher.directory.findReachableEndpoints(this.request)
+    const usable = this.services.dispatcher.listUsableEndpoints(this.request)
+    this.log('dispatch', resumes === undefined ? grant.reason : `${grant.reason}; goes on after ${resumes.tokens} tokens`, grant, attemptId, {
       eligible: reach.length,
       usable: usable.length,
       queuedMs: Math.round(grant.queuedMs),
--- a/entry/gateway/src/admin.ts
+++ b/entry/gateway/src/admin.ts
@@ -2,7 +2,7 @@
 import { createRegistry, type Registry } from '@gullwall/core.metrics'
 import { createAdminServer, HttpServer, Koa, type HttpServer as Server } from '@gullwall/transport.http-server'
 import { linkMetrics } from '@gullwall/transport.link'
-import { beliefGauges } from './metrics.ts'
+import { registerStateGauges } from './metrics.ts'
 import { type GatewayServices } from './index.ts'
 import { isStartingUp } from './start-up.ts'
 
@@ -15,9 +15,9 @@
   constructor (private readonly services: GatewayServices) {}
 
   async start (): Promise<void> {
-    const { settings, registry, view, store, crossings, coldEngines, limits, notices } = this.services
+    const { settings, registry, view, store, crossRegionTraffic, coldEndpoints, limits, notices } = this.services
     linkMetrics(registry)
-    beliefGauges(registry, this.services)
+    registerStateGauges(registry, this.services)
     this.admin = createAdminServer({
       registry,
       notReady: () => this.notReady(),
@@ -28,10 +28,10 @@
           revision: store.revision,
           version: view.table?.version,
           documentAgeMs: view.table === undefined ? undefined : view.documentAgeMs,
-          leaving: crossings.sent,
-          cold: coldEngines.coldCount,
-          limited: limits.all(),
-          resting: notices.backoffs.resting(),
+          leaving: crossRegionTraffic.sent,
+          cold: coldEndpoints.coldCount,
+          limited: limits.limitedEndpoints(),
+          resting: notices.backoffs.listActive(),
           leases: view.leases.toWire()
         })
       }
@@ -47,7 +47,7 @@
   }
 
   private notReady (): string | undefined {
-    return this.services.ingress.isStopping ? 'stopping' : this.services.controlLinks.notReady()
+    return this.services.ingress.isStopping ? 'stopping' : this.services.controlLinks.findNotReadyReason()
   }
 
   /** Why the balancer should send nothing here; a process that has just started takes requests and holds them. */
@@ -69,6 +69,6 @@
   }
 }
 
-export function gatewayRegistry (): Registry {
+export function createGatewayRegistry (): Registry {
   return createRegistry({ process: true })
 }
--- a/entry/gateway/src/allowed-regions.ts
+++ b/entry/gateway/src/allowed-regions.ts
@@ -5,7 +5,7 @@
 import { Regions, type GatewaySettings } from '@gullwall/config.settings'
 import { type OrganisationDescription, type Route, type RouteTable } from '@gullwall/config.document'
 import { type Call } from './call.ts'
-import { type PlaceRule } from './eligibility.ts'
+import { type DataCentreRule } from './eligibility.ts'
 
 /** The lists that bind one request; a region must be in each of them. */
 export type RegionLimits = ReadonlyArray<readonly string[]>
@@ -15,13 +15,13 @@
   return [route?.allowedRegions ?? [], organisation?.allowedRegions ?? []].filter((regions) => regions.length > 0)
 }
 
-export interface AllowedRegionsOptions {
+export interface AllowedRegionsRuleOptions {
   settings: Pick<GatewaySettings, 'regions'>
   view: { readonly table: RouteTable | undefined }
 }
 
 /** Makes the rule that keeps requests in their allowed regions. */
-export function allowedRegions ({ settings, view }: AllowedRegionsOptions): PlaceRule {
+export function createAllowedRegionsRule ({ settings, view }: AllowedRegionsRuleOptions): DataCentreRule {
   const regions = new Regions(settings.regions)
   return (dataCentre, call) => {
     const region = regions.regionOf(dataCentre)
--- a/entry/gateway/src/attempt-history.ts
+++ b/entry/gateway/src/attempt-history.ts
@@ -6,55 +6,55 @@
 
 export class AttemptHistory {
   /** Attempts that may have run. */
-  sends = 0
+  sentCount = 0
   /** Attempts that the endpoint answered without running them. */
-  notRun = 0
+  notRunCount = 0
   /** Attempts of which not a byte was written, since the endpoint could not be connected to. */
-  unsent = 0
+  unsentCount = 0
   private readonly tried = new Set<string>()
 
   constructor (private readonly call: Call) {}
 
   /** The number of the attempt that is next or under way, from 1. */
-  get attempt (): number {
-    return this.sends + 1
+  get attemptNumber (): number {
+    return this.sentCount + 1
   }
 
   /** Whether nothing has been tried yet. */
   get isFirst (): boolean {
-    return this.sends + this.notRun + this.unsent === 0
+    return this.sentCount + this.notRunCount + this.unsentCount === 0
   }
 
   get mayHaveRun (): boolean {
-    return this.sends > 0
+    return this.sentCount > 0
   }
 
   /** Notes an attempt that certainly did not run. */
-  noteNotRun (incarnation: string): void {
+  recordNotRun (incarnation: string): void {
     this.tried.add(incarnation)
-    this.notRun += 1
+    this.notRunCount += 1
   }
 
   /** Notes an attempt that did not even reach its endpoint. */
-  noteUnsent (incarnation: string): void {
+  recordUnsent (incarnation: string): void {
     this.tried.add(incarnation)
-    this.unsent += 1
+    this.unsentCount += 1
   }
 
   /** Notes an attempt that ran or may have run. */
-  noteRun (incarnation: string): void {
+  recordRun (incarnation: string): void {
     this.tried.add(incarnation)
-    this.sends += 1
+    this.sentCount += 1
   }
 
   /** Whether a request that did not run may be tried at one more endpoint. */
-  get mayBeTriedElsewhere (): boolean {
-    return this.notRun < MAX_NOT_RUN
+  get canTryAnotherEndpoint (): boolean {
+    return this.notRunCount < MAX_NOT_RUN
   }
 
   /** Whether the route allows one more endpoint to run it. */
-  get mayRunAgain (): boolean {
-    return this.sends < this.call.route.maxAttempts
+  get canRunAgain (): boolean {
+    return this.sentCount < this.call.route.maxAttempts
   }
 
   /** Endpoints that are not to have the request next. */
--- a/entry/gateway/src/attempt-policy.ts
+++ b/entry/gateway/src/attempt-policy.ts
@@ -1,9 +1,9 @@
 /**
  * What is decided about one request: whether it is sent at all, what follows each attempt, and when an endpoint that says
- * nothing is given up. Decisions only; `forward.ts` carries them out.
+ * nothing is given up. Decisions only; `request-forwarder.ts` carries them out.
  */
-import { type Candidate, type RetryBudget, type Work } from '@gullwall/routing.balancer'
-import { type AttemptEnd } from './answer-receiver.ts'
+import { type Candidate, type RetryBudget, type InFlightRequest } from '@gullwall/routing.balancer'
+import { type AttemptOutcome } from './attempt-response-receiver.ts'
 import { type AttemptHistory } from './attempt-history.ts'
 import { isRepeatable, type Call } from './call.ts'
 import { type ExchangeHead } from './exchange.ts'
@@ -17,33 +17,33 @@
 /** A repeatable call without an answer after so many times its target is tried elsewhere. */
 const SLOW_TARGETS = 1.5
 /** No call is taken to be slow before this time; it is also how often an attempt is looked at. In ms. */
-export const WATCH_MS = 250
+export const WATCH_INTERVAL_MS = 250
 /** A stream without an event for so long is given up if its endpoint says nothing to anybody, in ms. */
 const STALL_MS = 1200
 
 /** Whether a request is sent to the best candidate, or had better come back. */
 export type Admission =
   | { type: 'send' }
-  | { type: 'refuse', why: string, afterMs: number }
+  | { type: 'refuse', reason: string, retryAfterMs: number }
 
 /** What follows an attempt. */
 export type NextStep =
   /** The caller has its answer, or has left. */
   | { type: 'over' }
-  | { type: 'again', why: string, budgetLeft: number }
+  | { type: 'again', reason: string, budgetLeft: number }
   /** It has not run and is not tried again. */
-  | { type: 'refuse', why: string }
+  | { type: 'refuse', reason: string }
   /** The endpoint's own failure goes to the caller. */
-  | { type: 'pass-failure', head: ExchangeHead, body: Buffer, why: string }
+  | { type: 'pass-failure', head: ExchangeHead, body: Buffer, reason: string }
   /** It may have run and has no answer. */
-  | { type: 'fail', code: string, why: string }
+  | { type: 'fail', code: string, reason: string }
 
 export interface RequestState {
   call: Call
   history: AttemptHistory
   budget: RetryBudget
   /** For how long a wait requests that are no more urgent than this one are still taken, in ms. */
-  patienceMs: number
+  acceptableWaitMs: number
 }
 
 /**
@@ -51,38 +51,38 @@
  * and makes those behind it late too. The most urgent are never refused so, and none for a wait at which less urgent ones
  * are still taken.
  */
-export function admit ({ call, history, patienceMs }: RequestState, { waitMs }: Candidate): Admission {
+export function admit ({ call, history, acceptableWaitMs }: RequestState, { waitMs }: Candidate): Admission {
   const { tier, prompt, route } = call
   const isBound = history.mayHaveRun || prompt.length === 0 || tier === 0
-  if (isBound || waitMs <= HOPELESS_TARGETS * patienceMs) return { type: 'send' }
-  return { type: 'refuse', why: `the first event would take ${Math.round(waitMs)} ms of ${route.targetMs}`, afterMs: waitMs - route.targetMs }
+  if (isBound || waitMs <= HOPELESS_TARGETS * acceptableWaitMs) return { type: 'send' }
+  return { type: 'refuse', reason: `the first event would take ${Math.round(waitMs)} ms of ${route.targetMs}`, retryAfterMs: waitMs - route.targetMs }
 }
 
 /** Decides what follows an attempt, and notes it in the history of the request. */
-export function nextStep (state: RequestState, incarnation: string, end: AttemptEnd, now = performance.now()): NextStep {
+export function decideNextStep (state: RequestState, incarnation: string, end: AttemptOutcome, now = performance.now()): NextStep {
   const { call, history } = state
   switch (end.type) {
     case 'answered':
     case 'cancelled':
       return { type: 'over' }
     case 'unsent':
-      history.noteUnsent(incarnation)
-      return afterUnsent(state, end.why, now)
+      history.recordUnsent(incarnation)
+      return afterUnsent(state, end.reason, now)
     case 'withheld':
-      return { type: 'again', why: `not sent: ${end.why}`, budgetLeft: state.budget.left }
+      return { type: 'again', reason: `not sent: ${end.reason}`, budgetLeft: state.budget.remaining }
     case 'not-run':
-      history.noteNotRun(incarnation)
-      return afterNotRun(state, end.why)
+      history.recordNotRun(incarnation)
+      return afterNotRun(state, end.reason)
     case 'failed':
-      history.noteRun(incarnation)
+      history.recordRun(incarnation)
       return isRepeatable(call)
-        ? sendAgain(state, `answered ${end.head.status}`, (why) => ({ type: 'pass-failure', head: end.head, body: end.body, why }))
-        : { type: 'pass-failure', head: end.head, body: end.body, why: 'it runs at most once' }
+        ? sendAgain(state, `answered ${end.head.status}`, (why) => ({ type: 'pass-failure', head: end.head, body: end.body, reason: why }))
+        : { type: 'pass-failure', head: end.head, body: end.body, reason: 'it runs at most once' }
     case 'broken':
-      history.noteRun(incarnation)
+      history.recordRun(incarnation)
       return isRepeatable(call)
-        ? sendAgain(state, end.why, (why) => ({ type: 'fail', code: 'ERR_GULLWALL_BROKEN', why }))
-        : { type: 'fail', code: 'ERR_GULLWALL_UNKNOWN_OUTCOME', why: end.why }
+        ? sendAgain(state, end.reason, (why) => ({ type: 'fail', code: 'ERR_GULLWALL_BROKEN', reason: why }))
+        : { type: 'fail', code: 'ERR_GULLWALL_UNKNOWN_OUTCOME', reason: end.reason }
   }
 }
 
@@ -92,26 +92,26 @@
  */
 function afterUnsent ({ call, history, budget }: RequestState, why: string, now: number): NextStep {
   const isLate = now - call.arrivedAt >= UNSENT_TARGETS * call.route.targetMs
-  if (history.unsent >= MIN_UNSENT && isLate) return { type: 'refuse', why: `${history.unsent} endpoints could not be reached: ${why}` }
-  return { type: 'again', why: `not sent: ${why}`, budgetLeft: budget.left }
+  if (history.unsentCount >= MIN_UNSENT && isLate) return { type: 'refuse', reason: `${history.unsentCount} endpoints could not be reached: ${why}` }
+  return { type: 'again', reason: `not sent: ${why}`, budgetLeft: budget.remaining }
 }
 
 function afterNotRun (state: RequestState, why: string): NextStep {
   const { history } = state
-  if (!history.mayBeTriedElsewhere) return { type: 'refuse', why: `not run ${history.notRun} times: ${why}` }
-  return sendAgain(state, why, (told) => ({ type: 'refuse', why: told }))
+  if (!history.canTryAnotherEndpoint) return { type: 'refuse', reason: `not run ${history.notRunCount} times: ${why}` }
+  return sendAgain(state, why, (told) => ({ type: 'refuse', reason: told }))
 }
 
 /** Sends once more if attempts and budget allow it; else ends as told, with the reason. */
 function sendAgain ({ call, history, budget }: RequestState, why: string, otherwise: (why: string) => NextStep): NextStep {
-  if (!history.mayRunAgain) return otherwise(`${why}; ${history.sends} of ${call.route.maxAttempts} attempts made`)
-  if (!budget.take()) return otherwise(`${why}; no retry budget left`)
-  return { type: 'again', why, budgetLeft: budget.left }
+  if (!history.canRunAgain) return otherwise(`${why}; ${history.sentCount} of ${call.route.maxAttempts} attempts made`)
+  if (!budget.tryTake()) return otherwise(`${why}; no retry budget left`)
+  return { type: 'again', reason: why, budgetLeft: budget.remaining }
 }
 
 export interface RunningAttempt extends RequestState {
   candidate: Candidate
-  work: Work
+  inFlightRequest: InFlightRequest
   /** When an event of this request last arrived. */
   lastProgressAt: number
   /** Whether another endpoint could take it. */
@@ -119,13 +119,13 @@
 }
 
 /** Why a stream or a repeatable request is moved away from an endpoint that says nothing; undefined if it stays. */
-export function silenceOf (running: RunningAttempt, now: number): string | undefined {
-  const { call, history, budget, candidate, work, lastProgressAt } = running
-  if (!isRepeatable(call) || history.attempt >= call.route.maxAttempts) return undefined
-  const waitedMs = now - Math.max(work.startedAt, lastProgressAt)
+export function findStallReason (running: RunningAttempt, now: number): string | undefined {
+  const { call, history, budget, candidate, inFlightRequest, lastProgressAt } = running
+  if (!isRepeatable(call) || history.attemptNumber >= call.route.maxAttempts) return undefined
+  const waitedMs = now - Math.max(inFlightRequest.startedAt, lastProgressAt)
   const isSlow = call.route.kind === 'repeatable'
-    ? waitedMs > Math.max(WATCH_MS, SLOW_TARGETS * call.route.targetMs)
+    ? waitedMs > Math.max(WATCH_INTERVAL_MS, SLOW_TARGETS * call.route.targetMs)
     : waitedMs > STALL_MS && candidate.endpoint.isSilent(now)
-  if (!isSlow || budget.left < 1 || !running.hasAlternative()) return undefined
+  if (!isSlow || budget.remaining < 1 || !running.hasAlternative()) return undefined
   return `nothing for ${Math.round(waitedMs)} ms`
 }
--- a/entry/gateway/src/answer-receiver.ts
+++ b/entry/gateway/src/attempt-response-receiver.ts
@@ -1,25 +1,25 @@
 /** Takes the answer of one attempt and passes it on as far as it is whole. */
-import { type AttemptVerdict, type Candidate, type Work } from '@gullwall/routing.balancer'
-import { type Permit } from '@gullwall/routing.backoff'
+import { type AttemptVerdict, type Candidate, type InFlightRequest } from '@gullwall/routing.balancer'
+import { type BackoffPermit } from '@gullwall/routing.backoff'
 import { type AnswerHead } from './dialect.ts'
-import { EventCutter } from './events.ts'
-import { type ExchangeEnd, type ExchangeHead, type ExchangeListener } from './exchange.ts'
-import { type Forwarding } from './forward.ts'
+import { EventSplitter } from './event-splitter.ts'
+import { type ExchangeOutcome, type ExchangeHead, type ExchangeListener } from './exchange.ts'
+import { type RequestForwarder } from './request-forwarder.ts'
 
 /** How one attempt ended. */
-export type AttemptEnd =
+export type AttemptOutcome =
   /** The caller has its answer. */
   | { type: 'answered' }
   /** It certainly did not run. */
-  | { type: 'not-run', why: string, verdict: AttemptVerdict }
+  | { type: 'not-run', reason: string, verdict: AttemptVerdict }
   /** Not even the connection was made. */
-  | { type: 'unsent', why: string, isRefused?: boolean }
+  | { type: 'unsent', reason: string, isRefused?: boolean }
   /** It was no longer to be sent there once a connection was free. */
-  | { type: 'withheld', why: string }
+  | { type: 'withheld', reason: string }
   /** It ran, and the endpoint answered with a failure. */
   | { type: 'failed', head: ExchangeHead, body: Buffer }
   /** It may have run; `isClosed`: the endpoint, or the way to it, ended the connection. */
-  | { type: 'broken', why: string, isClosed: boolean }
+  | { type: 'broken', reason: string, isClosed: boolean }
   | { type: 'cancelled' }
 
 const MAX_WHOLE_BYTES = 32 * 1024 * 1024
@@ -28,20 +28,20 @@
 const SERVER_ERROR = 500
 const MISDIRECTED = 421
 
-export class AnswerReceiver implements ExchangeListener {
+export class AttemptResponseReceiver implements ExchangeListener {
   /** All that has arrived of the answer. */
   receivedBytes = 0
   private head: ExchangeHead | undefined
-  private readonly cutter = new EventCutter()
+  private readonly cutter = new EventSplitter()
   private readonly chunks: Buffer[] = []
   private bytes = 0
   private isNotRun = false
 
   constructor (
-    private readonly forwarding: Forwarding,
-    private readonly work: Work,
+    private readonly forwarding: RequestForwarder,
+    private readonly work: InFlightRequest,
     private readonly candidate: Candidate,
-    private readonly permit: Permit
+    private readonly permit: BackoffPermit
   ) {}
 
   onInterim (head: ExchangeHead): void {
@@ -49,28 +49,28 @@
   }
 
   onHead (head: ExchangeHead): boolean {
-    const { call } = this.forwarding.facts
-    const { requestId, isSigned, isNotRun } = this.readHead(head)
+    const { call } = this.forwarding.context
+    const { requestId, isFromService, isNotRun } = this.readHead(head)
     this.head = head
     this.isNotRun = isNotRun || head.status === MISDIRECTED
     if (this.isNotRun) return true
-    this.permit.answered()
-    return requestId === call.requestId && isSigned && head.headers['content-encoding'] === undefined
+    this.permit.recordResponse()
+    return requestId === call.requestId && isFromService && head.headers['content-encoding'] === undefined
   }
 
   /** Reads a head, whatever it is the head of: what the endpoint says of itself holds also in an answer to something else. */
   private readHead ({ status, headers, sentAt }: ExchangeHead): AnswerHead {
-    const { services } = this.forwarding.facts
+    const { services } = this.forwarding.context
     const { endpoint } = this.candidate
-    endpoint.heardAt = performance.now()
+    endpoint.lastReceivedAt = performance.now()
     const head = services.dialect.readAnswer(status, headers)
-    services.notices.take(endpoint.description, { status, sentAt, notices: head.notices })
+    services.notices.apply(endpoint.description, { status, sentAt, notices: head.notices })
     return head
   }
 
   onData (chunk: Buffer): void {
     this.receivedBytes += chunk.length
-    this.candidate.endpoint.heardAt = performance.now()
+    this.candidate.endpoint.lastReceivedAt = performance.now()
     if (this.isStream) {
       this.passEvents(chunk)
       return
@@ -80,56 +80,56 @@
   }
 
   /** Gives the end of the attempt, and ends the caller's answer where it is whole. */
-  endOf (end: ExchangeEnd): AttemptEnd {
+  finish (end: ExchangeOutcome): AttemptOutcome {
     const { head } = this
     if (end.type === 'cancelled') return { type: 'cancelled' }
     if (end.type === 'unsent' || end.type === 'withheld') return end
     if (this.isNotRun && head !== undefined) {
-      return { type: 'not-run', why: `the endpoint answered ${head.status}, not run`, verdict: head.status === MISDIRECTED ? 'ended' : 'shed' }
+      return { type: 'not-run', reason: `the endpoint answered ${head.status}, not run`, verdict: head.status === MISDIRECTED ? 'ended' : 'shed' }
     }
-    if (end.type === 'broken' || head === undefined) return end.type === 'broken' ? end : { type: 'broken', why: 'no head', isClosed: false }
+    if (end.type === 'broken' || head === undefined) return end.type === 'broken' ? end : { type: 'broken', reason: 'no head', isClosed: false }
     if (head.status >= SERVER_ERROR) return { type: 'failed', head, body: Buffer.concat(this.chunks) }
     return this.complete(head)
   }
 
-  private complete (head: ExchangeHead): AttemptEnd {
-    const { answer } = this.forwarding.facts
+  private complete (head: ExchangeHead): AttemptOutcome {
+    const { answer } = this.forwarding.context
     if (this.isStream) {
       this.begin(head)
-      this.forwarding.noteAnswered()
+      this.forwarding.recordAnswered()
       answer.endStream(this.cutter.remainder())
     } else {
-      if (this.bytes > MAX_WHOLE_BYTES) return { type: 'broken', why: 'the answer is too large', isClosed: false }
-      this.forwarding.noteAnswered()
-      answer.whole(head.status, head.headers, Buffer.concat(this.chunks))
+      if (this.bytes > MAX_WHOLE_BYTES) return { type: 'broken', reason: 'the answer is too large', isClosed: false }
+      this.forwarding.recordAnswered()
+      answer.sendComplete(head.status, head.headers, Buffer.concat(this.chunks))
     }
     return { type: 'answered' }
   }
 
   private get isStream (): boolean {
     const status = this.head?.status ?? 0
-    return this.forwarding.facts.call.route.kind === 'stream' && status >= SUCCESS && status < REDIRECT
+    return this.forwarding.context.call.route.kind === 'stream' && status >= SUCCESS && status < REDIRECT
   }
 
   private passEvents (chunk: Buffer): void {
-    const events = this.cutter.take(chunk)
+    const events = this.cutter.push(chunk)
     if (events === undefined || this.head === undefined) return
-    const { answer } = this.forwarding.facts
-    this.candidate.endpoint.noteEvents(this.work, performance.now())
+    const { answer } = this.forwarding.context
+    this.candidate.endpoint.recordEvents(this.work, performance.now())
     this.begin(this.head)
-    this.forwarding.noteEvents(events.lastId)
-    if (!answer.events(events.bytes)) this.forwarding.holdUntilDrained()
+    this.forwarding.recordEvents(events.lastId)
+    if (!answer.writeEvents(events.bytes)) this.forwarding.pauseUntilDrained()
   }
 
   /** The first run of a stream gives the head; later runs go on under it. */
   private begin (head: ExchangeHead): void {
-    const { answer } = this.forwarding.facts
+    const { answer } = this.forwarding.context
     if (!answer.hasBegun) answer.beginStream(head.status, head.headers)
   }
 }
 
 /** What the end of an attempt tells of its endpoint. */
-export function verdictOf (end: AttemptEnd): AttemptVerdict {
+export function verdictOf (end: AttemptOutcome): AttemptVerdict {
   switch (end.type) {
     case 'answered': return 'good'
     case 'not-run': return end.verdict
@@ -142,6 +142,6 @@
 }
 
 /** Whether the endpoint has begun to run the request, as far as its end tells. */
-export function hasRun (end: AttemptEnd): boolean {
+export function hasRun (end: AttemptOutcome): boolean {
   return end.type === 'answered' || end.type === 'failed' || end.type === 'broken'
 }
--- a/entry/gateway/src/call.ts
+++ b/entry/gateway/src/call.ts
@@ -2,7 +2,7 @@
 import { type IncomingMessage } from 'node:http'
 import { suspensions } from '@gullwall/core.clock'
 import { type OrganisationDescription, type Route, type RouteTable } from '@gullwall/config.document'
-import { fingerprintOf } from '@gullwall/routing.quarantine'
+import { computeFingerprint } from '@gullwall/routing.quarantine'
 import { regionLimitsOf, type RegionLimits } from './allowed-regions.ts'
 import { type CallDialect, type CallHead } from './dialect.ts'
 
@@ -22,7 +22,7 @@
   /** When the caller or the route gives up, by the monotonic clock; sooner by what the box has slept since the arrival. */
   deadline: number
   /** For how long the box had been suspended when the request arrived, in ms. */
-  sleptMs: number
+  suspendedMs: number
   documentVersion: number
   /** Knows the same request again when it comes under another id; taken from the body when it is first asked for. */
   fingerprint: () => string
@@ -66,15 +66,15 @@
     tier: organisation?.tier ?? route.tier,
     arrivedAt,
     deadline: arrivedAt + Math.min(head.waitMs ?? Infinity, route.timeoutMs),
-    sleptMs: suspensions.slept(),
+    suspendedMs: suspensions.suspendedMs(),
     documentVersion: table.version,
-    fingerprint: once(() => fingerprintOf({ organisation: organisation?.name, method, path, body }))
+    fingerprint: once(() => computeFingerprint({ organisation: organisation?.name, method, path, body }))
   }
 }
 
 /** How much of its time a request has left, in ms; what the box has slept since it arrived counts. */
-export function remainingMs ({ deadline, sleptMs }: Pick<Call, 'deadline' | 'sleptMs'>, slept = suspensions.slept()): number {
-  return deadline - performance.now() - (slept - sleptMs)
+export function remainingMs ({ deadline, suspendedMs }: Pick<Call, 'deadline' | 'suspendedMs'>, slept = suspensions.suspendedMs()): number {
+  return deadline - performance.now() - (slept - suspendedMs)
 }
 
 /** Whether a request may run more than once. */
--- a/entry/gateway/src/answer.ts
+++ b/entry/gateway/src/caller-response.ts
@@ -5,7 +5,7 @@
 const CONNECTION_HEADERS = new Set(['connection', 'keep-alive', 'transfer-encoding', 'content-length', 'trailer', 'upgrade', 'proxy-connection'])
 
 /** An error that this process answers with. */
-export interface ErrorAnswer {
+export interface ErrorResponse {
   status: number
   code: string
   message: string
@@ -14,7 +14,7 @@
   retryAfterMs?: number
 }
 
-export class CallerAnswer {
+export class CallerResponse {
   constructor (private readonly response: ServerResponse, private readonly requestId: string, private readonly isStopping: () => boolean) {}
 
   get hasBegun (): boolean {
@@ -27,7 +27,7 @@
   }
 
   /** Calls back once the caller has left before its answer was whole; at once if it has left already. */
-  onLeft (listener: () => void): void {
+  onDisconnected (listener: () => void): void {
     if (this.isClosed) {
       listener()
       return
@@ -38,7 +38,7 @@
   }
 
   /** Passes on a whole answer. */
-  whole (status: number, headers: Headers, body: Buffer): void {
+  sendComplete (status: number, headers: Headers, body: Buffer): void {
     if (this.isClosed) return
     this.writeHead(status, headers, { 'content-length': String(body.length) })
     this.response.end(body)
@@ -52,7 +52,7 @@
   }
 
   /** Passes on whole events; false if the caller reads too slowly for more. */
-  events (bytes: Buffer): boolean {
+  writeEvents (bytes: Buffer): boolean {
     return this.isClosed || this.response.write(bytes)
   }
 
@@ -65,15 +65,15 @@
   }
 
   /** Ends an answer that has begun so that it can't be taken for a whole one. */
-  breakOff (): void {
+  abort (): void {
     this.response.destroy()
   }
 
   /** Answers with an error of this process; where an answer has begun, it is broken off. */
-  error (answer: ErrorAnswer): void {
+  sendError (answer: ErrorResponse): void {
     if (this.isClosed) return
     if (this.hasBegun) {
-      this.breakOff()
+      this.abort()
       return
     }
     const { status, code, message, ran, retryAfterMs } = answer
--- a/entry/gateway/src/connections.ts
+++ b/entry/gateway/src/connections.ts
@@ -23,12 +23,12 @@
    * Whether the connection that is ending in this very moment was closed by the endpoint and not reset. Asked by an
    * answer that ends with its connection.
    */
-  async wasClosedWell (): Promise<boolean> {
+  async wasClosedCleanly (): Promise<boolean> {
     return await this.latestEnd
   }
 
   /** Gives the dispatcher for one incarnation of an endpoint. */
-  to ({ incarnation, address, dataCentre }: EndpointDescription, maxConnections: number, entries: number): Dispatcher {
+  dispatcherFor ({ incarnation, address, dataCentre }: EndpointDescription, maxConnections: number, entries: number): Dispatcher {
     const known = this.pools.get(incarnation)
     if (known !== undefined) return known
     const connections = Math.max(2, Math.floor(maxConnections * SHARE_OF_CONNECTIONS / Math.max(1, entries)))
--- a/entry/gateway/src/control-addresses.ts
+++ b/entry/gateway/src/control-addresses.ts
@@ -11,19 +11,19 @@
   private readonly namedAt = new Map<string, number>()
 
   /** Takes the addresses of the settings in force; those of earlier settings are kept as long as others name them. */
-  noteSeeds (addresses: readonly string[], now: number): void {
+  setSeeds (addresses: readonly string[], now: number): void {
     this.seeds = new Set(addresses)
-    this.noteNamed(addresses, now)
+    this.recordAnnounced(addresses, now)
   }
 
   /** Takes the addresses that a control process has named. */
-  noteNamed (addresses: readonly string[], now: number): void {
+  recordAnnounced (addresses: readonly string[], now: number): void {
     for (const address of addresses) this.namedAt.set(address, now)
   }
 
   /** Forgets addresses, and gives them; those that are linked are kept. */
-  takeForgotten (linked: readonly string[], now: number): string[] {
-    this.noteNamed(linked, now)
+  removeExpired (linked: readonly string[], now: number): string[] {
+    this.recordAnnounced(linked, now)
     const isOver = ([address, at]: [string, number]) => !this.seeds.has(address) && now - at > FORGET_MS
     const forgotten = [...this.namedAt].filter(isOver).map(([address]) => address)
     for (const address of forgotten) this.namedAt.delete(address)
--- a/entry/gateway/src/control-links.ts
+++ b/entry/gateway/src/control-links.ts
@@ -2,11 +2,11 @@
 import { linkAddresses, Regions, type GatewaySettings } from '@gullwall/config.settings'
 import { GullwallError, messageOf } from '@gullwall/core.error'
 import { Dialer, type Link } from '@gullwall/transport.link'
-import { type Grant, type GrantWish, type Lease, type Message, type MessageOf } from '@gullwall/transport.messages'
+import { type Grant, type GrantRequest, type Lease, type Message, type MessageOf } from '@gullwall/transport.messages'
 import { ControlAddresses } from './control-addresses.ts'
 import { EntryCount } from './entry-count.ts'
 import { type GatewayServices } from './index.ts'
-import { ListeningChoice } from './listening-choice.ts'
+import { PrimaryLinkSelector } from './primary-link-selector.ts'
 import { isStartingUp } from './start-up.ts'
 
 const MAX_BACKOFF_MS = 500
@@ -24,7 +24,7 @@
 const UNCONFIRMED_AFTER_MS = 2500
 
 /** What an entry tells of its work. */
-export type WorkWord = Pick<MessageOf<'work'>, 'works' | 'holdings' | 'observations'>
+export type EntryLoad = Pick<MessageOf<'work'>, 'works' | 'holdings' | 'observations'>
 
 const FAREWELL: MessageOf<'work'> = { kind: 'work', works: [], holdings: [], observations: [], listens: false }
 
@@ -37,14 +37,14 @@
   private timer: NodeJS.Timeout | undefined
   /** The link over which this entry tells of its work and hears of the others'. */
   private listensTo: Link | undefined
-  private readonly listening: ListeningChoice
+  private readonly listening: PrimaryLinkSelector
   private readonly entryCount = new EntryCount()
   /** Requests that failed. */
   private failures = 0
   private confirmRetryMs = FIRST_CONFIRM_RETRY_MS
 
   constructor (private readonly services: GatewayServices) {
-    this.listening = new ListeningChoice(services.settings.dataCentre, new Regions(services.settings.regions))
+    this.listening = new PrimaryLinkSelector(services.settings.dataCentre, new Regions(services.settings.regions))
   }
 
   start (): void {
@@ -55,14 +55,14 @@
   /** Links to the control processes that settings name. */
   dialSeeds ({ seeds, linkPort }: Pick<GatewaySettings, 'seeds' | 'linkPort'>): void {
     const addresses = linkAddresses(seeds, linkPort)
-    this.addresses.noteSeeds(addresses, performance.now())
+    this.addresses.setSeeds(addresses, performance.now())
     this.dialAll(addresses)
   }
 
   /** Gives up control processes that are gone for good. */
-  forgetControls (now: number): void {
+  removeExpiredControls (now: number): void {
     const linked = this.links().map(({ address }) => address)
-    for (const address of this.addresses.takeForgotten(linked, now)) {
+    for (const address of this.addresses.removeExpired(linked, now)) {
       const dialer = this.dialers.get(address)
       if (dialer === undefined) continue
       dialer.stop()
@@ -72,7 +72,7 @@
   }
 
   /** The addresses that are linked or dialled. */
-  get dialled (): string[] {
+  get dialledAddresses (): string[] {
     return [...this.dialers.keys()]
   }
 
@@ -87,7 +87,7 @@
   }
 
   /** The open link to the control process that this entry tells of its work. */
-  get listened (): Link | undefined {
+  get primaryLink (): Link | undefined {
     return this.listensTo?.isOpen === true ? this.listensTo : undefined
   }
 
@@ -95,8 +95,8 @@
    * Tells one control process what this entry has under way; false if no link is open. From then on that process tells
    * what the others have.
    */
-  tellWork (word: WorkWord): boolean {
-    const chosen = this.listening.choose(this.links(), this.dialers.size, performance.now())
+  reportLoad (word: EntryLoad): boolean {
+    const chosen = this.listening.select(this.links(), this.dialers.size, performance.now())
     if (chosen !== this.listensTo) this.listensTo?.send(FAREWELL)
     this.listensTo = chosen
     return chosen?.send({ kind: 'work', ...word, listens: true }) ?? false
@@ -106,7 +106,7 @@
    * Asks control for leave to send to endpoints that are cold or limited.
    * @throws ERR_GULLWALL_LINK_CLOSED, ERR_GULLWALL_LINK_TIMEOUT, ERR_GULLWALL_PEER_FAILED
    */
-  async askGrants (wishes: GrantWish[]): Promise<Grant[]> {
+  async requestGrants (wishes: GrantRequest[]): Promise<Grant[]> {
     return (await this.ask({ kind: 'coldAsk', entry: this.services.settings.box, wishes }, 'coldGranted', COLD_TIMEOUT_MS)).grants
   }
 
@@ -114,23 +114,23 @@
    * Tells control of crashed endpoints; a quorum has it once this resolves.
    * @throws ERR_GULLWALL_LINK_CLOSED, ERR_GULLWALL_LINK_TIMEOUT, ERR_GULLWALL_PEER_FAILED; the same may be told again
    */
-  async tellCrashes (word: Omit<MessageOf<'crashes'>, 'kind'>): Promise<void> {
+  async reportCrashes (word: Omit<MessageOf<'crashes'>, 'kind'>): Promise<void> {
     await this.ask({ kind: 'crashes', ...word }, 'done', CRASHES_TIMEOUT_MS)
   }
 
   /** Tells control of endpoints that said in an answer that they drain; who can't be reached now is told once it speaks of them. */
-  tellDraining (incarnations: string[]): void {
+  reportDraining (incarnations: string[]): void {
     for (const link of this.links()) link.send({ kind: 'draining', incarnations })
   }
 
   /** Tells control what endpoints have said of their limits; who can't be reached now is told once it speaks of them. */
-  tellLimits (limits: MessageOf<'limits'>['limits']): void {
+  reportLimits (limits: MessageOf<'limits'>['limits']): void {
     for (const link of this.links()) link.send({ kind: 'limits', limits })
   }
 
   /** Asks one control process; after a failure another one, since the first may be cut off from the one that leads. */
   private async ask<Kind extends 'coldGranted' | 'done'> (message: Message, expected: Kind, timeoutMs: number): Promise<MessageOf<Kind>> {
-    const links = [...new Set([this.listened, ...this.links()])].filter((link) => link !== undefined)
+    const links = [...new Set([this.primaryLink, ...this.links()])].filter((link) => link !== undefined)
     const link = links[this.failures % Math.max(1, links.length)]
     if (link === undefined) throw new GullwallError('ERR_GULLWALL_LINK_CLOSED', 'no link to control', { step: message.kind })
     try {
@@ -142,7 +142,7 @@
   }
 
   /** Why this process should not take requests yet; undefined if it may. */
-  notReady (): string | undefined {
+  findNotReadyReason (): string | undefined {
     const { view, store } = this.services
     if (view.table === undefined) return 'no document is known'
     if (view.endpointCount === 0) return 'no endpoint is known'
@@ -183,11 +183,11 @@
     const { spreader } = this.services
     if (spreader.receive(link, message)) return
     if (message.kind === 'workSums' && link === this.listensTo) this.receiveWork(link, message)
-    if (message.kind === 'readings') this.services.workExchange.learn(message)
+    if (message.kind === 'readings') this.services.loadExchange.adoptReadings(message)
     if (message.kind === 'leases') this.takeLeases(link, message.leases)
     if (message.kind !== 'controls') return
-    this.addresses.noteNamed(message.addresses, performance.now())
-    this.forgetControls(performance.now())
+    this.addresses.recordAnnounced(message.addresses, performance.now())
+    this.removeExpiredControls(performance.now())
     this.countEntries(link.address, message.entries)
     this.dialOthers(message.addresses)
   }
@@ -195,9 +195,9 @@
   /** Takes leases; a process that has not heard yet that an endpoint drains, or of its limit, is told so again. */
   private takeLeases (link: Link, leases: readonly Lease[]): void {
     this.services.view.leases.merge(leases)
-    const incarnations = this.services.notices.contradicted(leases)
+    const incarnations = this.services.notices.findDrainingReportedReady(leases)
     if (incarnations.length > 0) link.send({ kind: 'draining', incarnations })
-    const limits = this.services.notices.limitsToTell(leases)
+    const limits = this.services.notices.findLimitsToReport(leases)
     if (limits.length > 0) link.send({ kind: 'limits', limits })
   }
 
@@ -206,25 +206,25 @@
    * those of its settings: each further link costs processor time in which callers wait.
    */
   private dialOthers (addresses: readonly string[]): void {
-    const isPressed = this.notReady() !== undefined && isStartingUp(performance.now(), this.services.startedAt)
+    const isPressed = this.findNotReadyReason() !== undefined && isStartingUp(performance.now(), this.services.startedAt)
     // Control tells its addresses again within two seconds.
     if (!isPressed) this.dialAll(addresses)
   }
 
   private countEntries (address: string, entries: number): void {
     const now = performance.now()
-    this.entryCount.note(address, entries, now)
-    this.services.view.entries = this.entryCount.count(this.openCount > this.dialers.size / 2, now)
+    this.entryCount.record(address, entries, now)
+    this.services.view.entryCount = this.entryCount.count(this.openCount > this.dialers.size / 2, now)
   }
 
   private receiveWork (link: Link, message: MessageOf<'workSums'>): void {
-    this.listening.note(link, message.peers, performance.now())
-    this.services.workExchange.receive(message)
+    this.listening.recordPeers(link, message.peers, performance.now())
+    this.services.loadExchange.receive(message)
   }
 
   /** Asks until a quorum has said which revision is the newest; from then on the links keep this process up to date. */
   private async confirmOnce (): Promise<void> {
-    for (const link of this.listening.nearestFirst(this.links())) {
+    for (const link of this.listening.sortByDistance(this.links())) {
       try {
         const { revision } = await link.request({ kind: 'confirm' }, 'confirmed', CONFIRM_TIMEOUT_MS)
         this.confirmedRevision = revision
--- a/entry/gateway/src/region-crossings.ts
+++ b/entry/gateway/src/cross-region-traffic.ts
@@ -1,6 +1,6 @@
 /** The requests that this gateway sends to other regions: what each would cost, and what crosses. */
 import { Regions, type GatewaySettings } from '@gullwall/config.settings'
-import { RegionLink, type Crossing, type EndpointState } from '@gullwall/routing.balancer'
+import { RegionLink, type RegionContext, type EndpointState } from '@gullwall/routing.balancer'
 import { type Call } from './call.ts'
 import { type GatewayMetrics } from './metrics.ts'
 
@@ -10,16 +10,16 @@
 const UNSEEN_ANSWER_BYTES = 1000
 const ANSWER_WEIGHT = 0.1
 
-export interface RegionCrossingsOptions {
+export interface CrossRegionTrafficOptions {
   settings: Pick<GatewaySettings, 'dataCentre' | 'regions' | 'regionLinkMbitPerS'>
-  view: { readonly entries: number }
-  metrics: Pick<GatewayMetrics, 'leavingRequests' | 'leavingBytes'>
+  view: { readonly entryCount: number }
+  metrics: Pick<GatewayMetrics, 'crossRegionRequests' | 'crossRegionBytes'>
 }
 
 /** Of so many routes a mean is kept; the one that was met first gives way: names come and go with documents. */
 const MAX_ROUTES = 5000
 
-export class RegionCrossings {
+export class CrossRegionTraffic {
   readonly regions: Regions
   readonly link: RegionLink
   /** What was sent to other regions since the start, with the answers. */
@@ -27,42 +27,42 @@
   /** How long the answers of each route usually are. */
   private readonly answerBytes = new Map<string, number>()
 
-  constructor (private readonly options: RegionCrossingsOptions) {
+  constructor (private readonly options: CrossRegionTrafficOptions) {
     this.regions = new Regions(options.settings.regions)
-    this.link = new RegionLink({ mbitPerS: options.settings.regionLinkMbitPerS, entries: () => options.view.entries })
+    this.link = new RegionLink({ mbitPerS: options.settings.regionLinkMbitPerS, entryCount: () => options.view.entryCount })
   }
 
   /** What the choice must know for a request; nothing where the deployment lies in one region, which spares the sorting by region. */
-  of (call: Call): Crossing | undefined {
+  costsFor (call: Call): RegionContext | undefined {
     if (this.regions.names.size < 2) return undefined
-    return { regionOf: (dataCentre) => this.regions.regionOf(dataCentre), costMs: this.link.costMs(this.expectedBytes(call)) }
+    return { regionOf: (dataCentre) => this.regions.regionOf(dataCentre), crossRegionCostMs: this.link.costMs(this.expectedBytes(call)) }
   }
 
   /** Notes that a request is sent; gives what to call with the bytes of its answer once that has ended. */
-  begin (call: Call, { description }: EndpointState): (answerBytes: number) => void {
+  beginRequest (call: Call, { description }: EndpointState): (answerBytes: number) => void {
     const { metrics } = this.options
     const expected = this.expectedBytes(call)
     const isLeaving = this.isElsewhere(description.dataCentre)
     const region = this.regions.regionOf(description.dataCentre)
     if (isLeaving) {
-      metrics.leavingRequests.inc({ region })
+      metrics.crossRegionRequests.inc({ region })
       this.sent.requests += 1
-      this.link.take(expected)
+      this.link.recordBytes(expected)
     }
     return (answerBytes) => {
       if (isLeaving) {
         const bytes = requestBytes(call) + answerBytes
-        metrics.leavingBytes.inc({ region }, bytes)
+        metrics.crossRegionBytes.inc({ region }, bytes)
         this.sent.bytes += bytes
-        this.link.take(bytes - expected)
+        this.link.recordBytes(bytes - expected)
       }
       this.noteAnswer(call.route.name, answerBytes)
     }
   }
 
   /** Notes how long a connection took to be made. */
-  connected (dataCentre: string, tookMs: number): void {
-    if (this.isElsewhere(dataCentre)) this.link.noteRoundTrip(tookMs)
+  recordConnected (dataCentre: string, tookMs: number): void {
+    if (this.isElsewhere(dataCentre)) this.link.recordRoundTrip(tookMs)
   }
 
   private isElsewhere (dataCentre: string): boolean {
--- a/entry/gateway/src/deployment-view.ts
+++ b/entry/gateway/src/deployment-view.ts
@@ -2,7 +2,7 @@
 import { Regions, type GatewaySettings } from '@gullwall/config.settings'
 import { RouteTable, type DocumentFormat } from '@gullwall/config.document'
 import { type RevisionStore } from '@gullwall/config.spread'
-import { LeaseTable, type HeldLease } from '@gullwall/control.registry'
+import { LeaseTable, type KnownLease } from '@gullwall/control.registry'
 import { DOCUMENT_KEY, type StoredDocument } from '@gullwall/control.state'
 import { type Logger } from '@gullwall/core.logger'
 import { EndpointIndex, EndpointState, ReservedEngines, type EndpointPool } from '@gullwall/routing.balancer'
@@ -18,7 +18,7 @@
 
 /** Told of an endpoint that has named another limit, or none any more, and of one that is gone. */
 export interface LimitListener {
-  note: (lease: HeldLease) => void
+  recordLimit: (lease: KnownLease) => void
   forget: (incarnation: string) => void
 }
 
@@ -28,9 +28,9 @@
 const TURN_ENDPOINTS = 256
 
 /** An endpoint that is looked at in this turn, and for how many turns it stands. */
-export interface TurnOf {
+export interface ScanItem {
   endpoint: EndpointState
-  turns: number
+  ticks: number
 }
 
 /** A request that waits for a change. */
@@ -43,7 +43,7 @@
   /** The document in force; none before the first. */
   table: RouteTable | undefined
   /** How many entries share the deployment's budgets, as control counts them. */
-  entries = 1
+  entryCount = 1
   readonly leases: LeaseTable
   /** Engines that are kept free of long reads. */
   readonly reserved = new ReservedEngines()
@@ -64,20 +64,20 @@
     this.leases = new LeaseTable({
       logger: options.logger,
       onChange: (changed) => this.leasesChanged(changed),
-      onLimit: (lease) => this.limitListener?.note(lease),
+      onLimit: (lease) => this.limitListener?.recordLimit(lease),
       onTouched: (incarnation) => this.noteUsable(incarnation)
     })
     options.store.onChange(() => this.documentChanged())
   }
 
   /** Sets who is told of limits. */
-  onLimits (listener: LimitListener): void {
+  setLimitListener (listener: LimitListener): void {
     this.limitListener = listener
   }
 
   start (): void {
     this.leases.start()
-    this.timer = setInterval(() => this.forgetGone(), SWEEP_MS)
+    this.timer = setInterval(() => this.removeGone(), SWEEP_MS)
   }
 
   stop (): void {
@@ -99,7 +99,9 @@
   reserveEngines (mayGoTo: (dataCentre: string) => boolean): void {
     for (const { name, engine } of this.table?.document.services ?? []) {
       if (engine === undefined) continue
-      this.reserved.updateFrom(name, this.pool(name), { mayGoTo, regionOf: (dataCentre) => this.regions.regionOf(dataCentre) })
+      this.reserved.updateFromPool(
+        name, this.pool(name), { isDataCentreAllowed: mayGoTo, regionOf: (dataCentre) => this.regions.regionOf(dataCentre) }
+      )
     }
   }
 
@@ -109,12 +111,12 @@
   }
 
   /** The endpoints to look at in this turn: those with work of this entry, and some of the others, each in its time. */
-  nextTurn (now: number): TurnOf[] {
-    this.index.settle(now)
+  nextScanBatch (now: number): ScanItem[] {
+    this.index.removeIdle(now)
     const { busy } = this.index
     const turns = Math.max(1, Math.ceil(this.endpoints.size / TURN_ENDPOINTS))
     const others = this.nextOthers(Math.min(TURN_ENDPOINTS, this.endpoints.size)).filter((endpoint) => !busy.has(endpoint))
-    return [...[...busy].map((endpoint) => ({ endpoint, turns: 1 })), ...others.map((endpoint) => ({ endpoint, turns }))]
+    return [...[...busy].map((endpoint) => ({ endpoint, ticks: 1 })), ...others.map((endpoint) => ({ endpoint, ticks: turns }))]
   }
 
   private nextOthers (count: number): EndpointState[] {
@@ -129,7 +131,7 @@
   }
 
   /** Whether an endpoint takes new work now, as far as this process knows. */
-  takesWork (incarnation: string): boolean {
+  acceptsRequests (incarnation: string): boolean {
     return this.endpoints.get(incarnation)?.hasEnded === false && this.leases.isUsable(incarnation)
   }
 
@@ -149,7 +151,7 @@
   /** How old this process's word of an endpoint is, in ms. */
   leaseAgeMs (incarnation: string): number {
     const lease = this.leases.get(incarnation)
-    return lease === undefined ? -1 : Math.round(performance.now() - lease.heardAt)
+    return lease === undefined ? -1 : Math.round(performance.now() - lease.receivedAt)
   }
 
   /** How long the document in force has been in force here, in ms. */
@@ -158,7 +160,7 @@
   }
 
   /** Resolves at the next change, or when the time has passed; of those who wait, the ones of lower rank look first. */
-  async changeWithin (ms: number, rank = -Infinity): Promise<void> {
+  async waitForChange (ms: number, rank = -Infinity): Promise<void> {
     await new Promise<void>((resolve) => {
       const done = () => {
         clearTimeout(timer)
@@ -195,7 +197,7 @@
     this.wake()
   }
 
-  private leasesChanged (changed: readonly HeldLease[]): void {
+  private leasesChanged (changed: readonly KnownLease[]): void {
     for (const lease of changed) {
       if (lease.state === 'gone') continue
       const known = this.endpoints.get(lease.incarnation)
@@ -209,7 +211,7 @@
   private noteUsable (incarnation: string): void {
     const endpoint = this.endpoints.get(incarnation)
     if (endpoint === undefined) return
-    this.index.setUsable(endpoint, this.takesWork(incarnation))
+    this.index.setUsable(endpoint, this.acceptsRequests(incarnation))
     const isGone = (this.leases.get(incarnation)?.state ?? 'gone') === 'gone'
     if (isGone) this.limitListener?.forget(incarnation)
     if (isGone) this.leaving.add(incarnation)
@@ -228,7 +230,7 @@
   }
 
   /** Forgets endpoints that are gone and have no work left; called at even intervals. */
-  forgetGone (): void {
+  removeGone (): void {
     for (const incarnation of this.leaving) {
       const endpoint = this.endpoints.get(incarnation)
       if (endpoint === undefined || endpoint.inFlight > 0) continue
--- a/entry/gateway/src/dialect.ts
+++ b/entry/gateway/src/dialect.ts
@@ -1,6 +1,6 @@
 /** The headers that carry meaning between callers, this process and endpoints. An adapter brings other names. */
 import { type Notices } from '@gullwall/endpoint.notices'
-import { type OutputWord, type PromptPart } from '@gullwall/routing.balancer'
+import { type OutputLengthHint, type PromptPart } from '@gullwall/routing.balancer'
 
 /** Headers with lower-case names. */
 export type Headers = Record<string, string | string[] | undefined>
@@ -14,12 +14,12 @@
   lastEventId: string | undefined
   prompt: readonly PromptPart[]
   /** What the caller says of the length of its answer. */
-  output?: OutputWord | undefined
+  output?: OutputLengthHint | undefined
   key: string | undefined
 }
 
 /** What an endpoint is told besides what the caller sent. */
-export interface AttemptFacts {
+export interface AttemptContext {
   /** The start of the endpoint that is meant; any other refuses. */
   incarnation: string
   remainingMs: number
@@ -36,7 +36,7 @@
 export interface AnswerHead {
   requestId: string | undefined
   /** Whether it is truly an answer of the service. */
-  isSigned: boolean
+  isFromService: boolean
   /** Whether the endpoint says that it has not run the request. */
   isNotRun: boolean
   /** What the endpoint says of itself. */
@@ -46,7 +46,7 @@
 export interface CallDialect {
   readCall (headers: Headers): CallHead
   /** Gives the headers for the endpoint, from the caller's as they came (name, value, name, value and so on). */
-  attemptHeaders (rawHeaders: readonly string[], facts: AttemptFacts): string[]
+  attemptHeaders (rawHeaders: readonly string[], facts: AttemptContext): string[]
   readAnswer (status: number, headers: Headers): AnswerHead
 }
 
@@ -59,20 +59,20 @@
 /** Which of a caller's headers an endpoint gets; names in lower case. */
 export interface HeaderRules {
   /** Never passed on, in any spelling that some server takes for the same name. */
-  dropped: ReadonlySet<string>
+  neverForwarded: ReadonlySet<string>
   /** Passed on also where the caller's Connection header names them, so that a caller can't take them away. */
-  kept: ReadonlySet<string>
+  alwaysForwarded: ReadonlySet<string>
 }
 
 /** The pairs that may be passed on, in their order. */
-export function passedOn (rawHeaders: readonly string[], { dropped, kept }: HeaderRules): string[] {
+export function filterForwardedHeaders (rawHeaders: readonly string[], { neverForwarded, alwaysForwarded }: HeaderRules): string[] {
   const named = connectionOptions(rawHeaders)
   const passed: string[] = []
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     const name = rawHeaders[index] ?? ''
     const canonical = canonicalName(name)
-    if (HOP_BY_HOP.has(canonical) || dropped.has(canonical)) continue
-    if (named.has(name.toLowerCase()) && !kept.has(canonical)) continue
+    if (HOP_BY_HOP.has(canonical) || neverForwarded.has(canonical)) continue
+    if (named.has(name.toLowerCase()) && !alwaysForwarded.has(canonical)) continue
     passed.push(name, rawHeaders[index + 1] ?? '')
   }
   return passed
@@ -94,13 +94,13 @@
 }
 
 /** One value of a header. */
-export function headerOf (headers: Headers, name: string): string | undefined {
+export function firstHeaderValue (headers: Headers, name: string): string | undefined {
   const value = headers[name]
   return Array.isArray(value) ? value[0] : value
 }
 
 /** A number above 0; undefined if it is missing or none. */
-export function countOf (text: string | undefined): number | undefined {
+export function parsePositiveNumber (text: string | undefined): number | undefined {
   const value = Number(text)
   return Number.isFinite(value) && value > 0 ? value : undefined
 }
--- a/entry/gateway/src/endpoint-choice.ts
+++ b/entry/gateway/src/endpoint-choice.ts
@@ -1,10 +1,11 @@
 /** Puts the choice of an endpoint for one request: which endpoints it may have, and what the policy must know. */
 import {
-  candidateSet, choose, hasSlot, sizeOf, whyTooLarge, type Candidate, type Choosable, type Demand, type EndpointState
+  selectCandidates, choose, hasFreeSlot, requestSizeOf, findMemoryRefusalReason, type Candidate, type CandidateScope,
+  type ChoiceRequest, type EndpointState
 } from '@gullwall/routing.balancer'
 import { type AttemptHistory } from './attempt-history.ts'
 import { isRepeatable, type Call } from './call.ts'
-import { whyNotEligible, whyNotPlace, whyNotEndpoint } from './eligibility.ts'
+import { findRefusalReason, findDataCentreRefusalReason, findEndpointRefusalReason } from './eligibility.ts'
 import { type GatewayServices } from './index.ts'
 
 /** After a start, other entries are taken to have sent prompts to their homes for so long, in ms. */
@@ -23,55 +24,55 @@
 
 /** Chooses the endpoint for the next attempt; none if no endpoint takes it. */
 export function chooseEndpoint ({ services, call, history, isResumed }: EndpointChoiceOptions): Candidate | undefined {
-  const { view, settings, weights, startedAt, crossings } = services
+  const { view, settings, weights, startedAt, crossRegionTraffic } = services
   const service = pickService(services, call)
   const engine = view.table?.service(service)?.engine
   const now = performance.now()
-  const demand: Demand = {
+  const demand: ChoiceRequest = {
     prompt: call.prompt,
     tier: call.tier,
     isResumed,
     needsSlot: engine !== undefined,
-    isOnce: !isRepeatable(call) || call.route.maxAttempts === 1,
+    isSingleAttempt: !isRepeatable(call) || call.route.maxAttempts === 1,
     dataCentre: settings.dataCentre,
-    crossing: crossings.of(call),
+    regions: crossRegionTraffic.costsFor(call),
     targetMs: call.route.targetMs,
-    pauseMs: call.route.pauseMs,
+    maxPauseMs: call.route.pauseMs,
     excluded: history.excluded,
-    sources: [],
-    trustsHome: now - startedAt < TRUST_HOME_MS,
-    isSensitive: isSensitive(services, call, service),
-    size: sizeOf(call.prompt, outputTokensOf(services, call)),
-    reserved: view.reserved.of(service)
+    copySources: [],
+    isAffinityTrusted: now - startedAt < TRUST_HOME_MS,
+    isPauseSensitive: isPauseSensitive(services, call, service),
+    size: requestSizeOf(call.prompt, estimateOutputTokens(services, call)),
+    reserved: view.reserved.get(service)
   }
-  const { endpoints, homes, sources } = candidateSet(demand, choosable(services, call, service))
-  const whole: Demand = { ...demand, homes, sources: engine?.copiesPrefixes === true ? sources : [] }
-  const preferred = services.coldEngines.preferred(endpoints, call)
+  const { endpoints, affinityEndpoints, copySources } = selectCandidates(demand, choosable(services, call, service))
+  const whole: ChoiceRequest = { ...demand, affinityEndpoints, copySources: engine?.copiesPrefixes === true ? copySources : [] }
+  const preferred = services.coldEndpoints.selectPreferred(endpoints, call)
   const candidate = choose(whole, preferred, now, weights)
   return candidate ?? (preferred.length < endpoints.length ? choose(whole, endpoints, now, weights) : undefined)
 }
 
 /** How long the answer to a request will probably be. */
-export function outputTokensOf ({ outputs }: GatewayServices, { route, output }: Call): number {
-  return Math.round(outputs.of(route.name, output ?? {}))
+export function estimateOutputTokens ({ outputEstimate }: GatewayServices, { route, output }: Call): number {
+  return Math.round(outputEstimate.estimate(route.name, output ?? {}))
 }
 
 /** Why no engine of the request's services can ever run it; undefined if one can. */
-export function whyNever ({ view }: GatewayServices, { route, prompt }: Call): string | undefined {
+export function findPermanentRefusalReason ({ view }: GatewayServices, { route, prompt }: Call): string | undefined {
   const whys = route.split.filter(({ weight }) => weight > 0).map(({ service }) => {
     const engine = view.table?.service(service)?.engine
-    return engine === undefined ? undefined : whyTooLarge(prompt, engine.memoryTokens)
+    return engine === undefined ? undefined : findMemoryRefusalReason(prompt, engine.memoryTokens)
   })
   return whys.every((why) => why !== undefined) ? whys[0] : undefined
 }
 
 /** The endpoints of a service that take work, and the rules that keep this request from some of them. */
-function choosable ({ view, eligibility }: GatewayServices, call: Call, service: string): Choosable {
+function choosable ({ view, eligibility }: GatewayServices, call: Call, service: string): CandidateScope {
   return {
     pool: view.pool(service),
-    keepers: view.index.keepers,
-    mayGoTo: (dataCentre) => whyNotPlace(eligibility, dataCentre, call) === undefined,
-    accepts: (endpoint) => whyNotEndpoint(eligibility, endpoint, call) === undefined,
+    prefixHolders: view.index.prefixHolders,
+    isDataCentreAllowed: (dataCentre) => findDataCentreRefusalReason(eligibility, dataCentre, call) === undefined,
+    isAllowed: (endpoint) => findEndpointRefusalReason(eligibility, endpoint, call) === undefined,
     random: Math.random
   }
 }
@@ -81,13 +82,13 @@
   return isAnyOf(choosable(services, call, description.service), (other) => {
     const { incarnation } = other.description
     // What has to ask first may be refused there, and would have lost the endpoint that it waits at.
-    return incarnation !== description.incarnation && !history.excluded.has(incarnation) && !services.limits.mustAsk(other)
+    return incarnation !== description.incarnation && !history.excluded.has(incarnation) && !services.limits.needsGrant(other)
   })
 }
 
 /** Whether a request is a stream that is sensitive to reading, and reads little itself. */
-export function isSensitive ({ view }: GatewayServices, { route }: Call, service: string): boolean {
-  return view.reserved.isSensitive({ route: route.name, pauseMs: route.pauseMs }, service)
+export function isPauseSensitive ({ view }: GatewayServices, { route }: Call, service: string): boolean {
+  return view.reserved.isPauseSensitive({ route: route.name, maxPauseMs: route.pauseMs }, service)
 }
 
 const NONE: ReadonlySet<string> = new Set()
@@ -97,14 +98,14 @@
  * takes work, or none is known.
  * @param excluded endpoints that the request has had already
  */
-export function restMsOfAll (
+export function findAvailabilityDelayMs (
   { view, eligibility, limits, notices: { backoffs } }: GatewayServices, call: Call, excluded: ReadonlySet<string> = NONE
 ): number {
   if (backoffs.size + limits.size === 0) return 0
   let soonest = Infinity
   for (const { service } of call.route.split.filter(({ weight }) => weight > 0)) {
-    for (const { dataCentre, members } of view.pool(service).places) {
-      if (whyNotPlace(eligibility, dataCentre, call) !== undefined) continue
+    for (const { dataCentre, members } of view.pool(service).dataCentrePools) {
+      if (findDataCentreRefusalReason(eligibility, dataCentre, call) !== undefined) continue
       for (const { description: { incarnation } } of members.items) {
         if (excluded.has(incarnation)) continue
         soonest = Math.min(soonest, Math.max(backoffs.remainingMs(incarnation), limits.waitMs(incarnation)))
@@ -116,14 +117,16 @@
 }
 
 /** Why no endpoint was chosen. */
-export function whyNone ({ services: { view, eligibility, crossings }, call, history }: EndpointChoiceOptions): string {
+export function findNoEndpointReason (
+  { services: { view, eligibility, crossRegionTraffic }, call, history }: EndpointChoiceOptions
+): string {
   const usable = call.route.split.flatMap(({ service }) => view.usable(service).slice(0, MAX_LOOKS))
-  const reasons = usable.map((endpoint) => whyNotEligible(eligibility, endpoint, call))
+  const reasons = usable.map((endpoint) => findRefusalReason(eligibility, endpoint, call))
   const [first] = reasons
   if (first !== undefined && reasons.every((why) => why !== undefined)) return `no endpoint may have it: ${first}`
   const untried = usable.filter(({ description }, index) => reasons[index] === undefined && !history.excluded.has(description.incarnation))
-  const crossing = crossings.of(call)
-  const isCut = crossing !== undefined && crossing.costMs === undefined
+  const crossing = crossRegionTraffic.costsFor(call)
+  const isCut = crossing !== undefined && crossing.crossRegionCostMs === undefined
   return whyNoneOf(untried, isCut) + exceptionsOf(reasons)
 }
 
@@ -131,7 +134,7 @@
 function whyNoneOf (untried: readonly EndpointState[], isCut: boolean): string {
   if (untried.length === 0) return 'no endpoint takes work'
   if (isCut) return 'no endpoint of its region takes it, and the link to others has no room'
-  return untried.some(hasSlot) ? 'the memory of all endpoints with a free slot is taken' : 'the slots of all endpoints are taken'
+  return untried.some(hasFreeSlot) ? 'the memory of all endpoints with a free slot is taken' : 'the slots of all endpoints are taken'
 }
 
 /** Which endpoints did not count, and why the first of them. */
@@ -162,12 +165,12 @@
 }
 
 /** Whether any endpoint that a request may have fits. The first that is looked at tells, but where rules bar many. */
-function isAnyOf ({ pool, mayGoTo, accepts }: Choosable, fits: (endpoint: EndpointState) => boolean): boolean {
-  for (const { dataCentre, members: { items } } of pool.places) {
-    if (!mayGoTo(dataCentre)) continue
+function isAnyOf ({ pool, isDataCentreAllowed, isAllowed }: CandidateScope, fits: (endpoint: EndpointState) => boolean): boolean {
+  for (const { dataCentre, members: { items } } of pool.dataCentrePools) {
+    if (!isDataCentreAllowed(dataCentre)) continue
     for (let look = 0; look < Math.min(MAX_LOOKS, items.length); look += 1) {
       const endpoint = items[look]
-      if (endpoint !== undefined && fits(endpoint) && accepts(endpoint)) return true
+      if (endpoint !== undefined && fits(endpoint) && isAllowed(endpoint)) return true
     }
   }
   return false
--- a/entry/gateway/src/endpoint-notices.ts
+++ b/entry/gateway/src/endpoint-notices.ts
@@ -5,9 +5,9 @@
  */
 import { setImmediate as nextTurn } from 'node:timers/promises'
 import { limitToWire } from '@gullwall/control.registry'
-import { describeNotices, type LimitWord, type Notices } from '@gullwall/endpoint.notices'
+import { describeNotices, type LimitNotice, type Notices } from '@gullwall/endpoint.notices'
 import { type EndpointDescription, type EndpointState } from '@gullwall/routing.balancer'
-import { BackoffTable, recordOfTurn, type Permit } from '@gullwall/routing.backoff'
+import { BackoffTable, createTransitionRecord, type BackoffPermit } from '@gullwall/routing.backoff'
 import { type Lease, type MessageOf } from '@gullwall/transport.messages'
 import { type EndpointRule } from './eligibility.ts'
 import { type GatewayServices } from './index.ts'
@@ -30,7 +30,7 @@
 }
 
 /** The notices of one answer. */
-export interface HeardNotices {
+export interface ReceivedNotices {
   status: number
   /** When the request was sent that it answers, by the monotonic clock. */
   sentAt: number
@@ -46,8 +46,8 @@
   constructor (private readonly services: Pick<GatewayServices, 'logger' | 'view' | 'controlLinks'>) {
     const { logger } = services
     this.backoffs = new BackoffTable({
-      onRoom: () => { void this.wakeSoon() },
-      onTurn: (endpoint, turn) => logger.sampled(`backoff ${turn.event}`, recordOfTurn(endpoint, turn))
+      onPermitsAvailable: () => { void this.wakeSoon() },
+      onTransition: (endpoint, turn) => logger.sampled(`backoff ${turn.event}`, createTransitionRecord(endpoint, turn))
     })
   }
 
@@ -56,22 +56,22 @@
   }
 
   /** The rule: an endpoint that wants nothing gets nothing, and one that comes back as much as its slow start allows. */
-  readonly rule: EndpointRule = ({ description }) => this.backoffs.whyNot(description.incarnation)
+  readonly rule: EndpointRule = ({ description }) => this.backoffs.findBlockReason(description.incarnation)
 
   /** Why a request is not sent to an endpoint after all, though it was chosen. */
-  whyNotNow ({ description: { incarnation } }: EndpointState): string | undefined {
+  findRefusalReason ({ description: { incarnation } }: EndpointState): string | undefined {
     const { view } = this.services
-    if (!view.takesWork(incarnation)) return `${incarnation} takes no new work any more`
-    return this.backoffs.remainingMs(incarnation) > 0 ? this.backoffs.whyNot(incarnation) : undefined
+    if (!view.acceptsRequests(incarnation)) return `${incarnation} takes no new work any more`
+    return this.backoffs.remainingMs(incarnation) > 0 ? this.backoffs.findBlockReason(incarnation) : undefined
   }
 
   /** Takes leave to send a request; undefined if another one has used the room since the choice. */
-  acquire ({ description }: EndpointState): Permit | undefined {
+  acquirePermit ({ description }: EndpointState): BackoffPermit | undefined {
     return this.backoffs.acquire(description.incarnation)
   }
 
   /** Takes the notices of an answer to a request that was sent to an endpoint. */
-  take (sentTo: EndpointDescription, { status, sentAt, notices }: HeardNotices): void {
+  apply (sentTo: EndpointDescription, { status, sentAt, notices }: ReceivedNotices): void {
     const said = describeNotices(notices)
     const incarnation = this.answeredBy(sentTo, status)
     if (incarnation !== undefined && notices.limit !== undefined) this.noteLimit(incarnation, notices.limit, sentAt)
@@ -81,12 +81,12 @@
     if (notices.unreadable !== undefined) this.totals.unreadable += 1
     if (notices.limit?.perSecond !== undefined) this.totals.limits += 1
     if (incarnation === undefined) return
-    this.backoffs.note(incarnation, notices.backOffMs ?? 0)
+    this.backoffs.recordBackoff(incarnation, notices.backoffMs ?? 0)
     if (notices.isDraining) this.noteDraining(incarnation)
   }
 
   /** Tells control what endpoints were heard to say of their limits here where a control process holds something else. */
-  limitsToTell (told: readonly Lease[]): ToldLimit[] {
+  findLimitsToReport (told: readonly Lease[]): ToldLimit[] {
     const now = performance.now()
     return told.flatMap(({ incarnation, limit }) => {
       const held = this.services.view.leases.get(incarnation)?.limit
@@ -95,7 +95,7 @@
   }
 
   /** Gives the endpoints that said here that they drain, of those that another process takes to be ready. */
-  contradicted (leases: readonly Lease[]): string[] {
+  findDrainingReportedReady (leases: readonly Lease[]): string[] {
     if (this.heardDraining.size === 0) return []
     return leases.filter(({ state, incarnation }) => state === 'ready' && this.heardDraining.has(incarnation)).map(({ incarnation }) => incarnation)
   }
@@ -107,22 +107,22 @@
     return holder === incarnation ? undefined : holder
   }
 
-  private noteLimit (incarnation: string, { perSecond }: LimitWord, sentAt: number): void {
+  private noteLimit (incarnation: string, { perSecond }: LimitNotice, sentAt: number): void {
     const { view, controlLinks } = this.services
     const heardAt = performance.now()
-    const word = { perSecond, sentAt, heardAt }
-    if (!view.leases.noteLimit(incarnation, word)) return
-    controlLinks.tellLimits([{ incarnation, ...limitToWire(word, heardAt) }])
+    const word = { perSecond, sentAt, receivedAt: heardAt }
+    if (!view.leases.recordLimit(incarnation, word)) return
+    controlLinks.reportLimits([{ incarnation, ...limitToWire(word, heardAt) }])
     view.wake()
   }
 
   private noteDraining (incarnation: string): void {
-    if (!this.services.view.leases.noteDraining(incarnation)) return
+    if (!this.services.view.leases.recordDraining(incarnation)) return
     this.totals.draining += 1
     this.heardDraining.add(incarnation)
     const [oldest] = this.heardDraining
     if (this.heardDraining.size > MAX_TOLD && oldest !== undefined) this.heardDraining.delete(oldest)
-    this.services.controlLinks.tellDraining([incarnation])
+    this.services.controlLinks.reportDraining([incarnation])
   }
 
   /** Has requests that wait look again, once for all endpoints whose time ends in the same moment. */
--- a/entry/gateway/src/patience.ts
+++ b/entry/gateway/src/endpoint-wait.ts
@@ -15,21 +15,21 @@
 /** A request waits ahead of those of the next tier that came so much sooner, in ms. Others go first, so that no tier starves. */
 const TIER_HEAD_START_MS = 200
 
-export interface PatienceOptions {
+export interface EndpointWaitOptions {
   call: Pick<Call, 'arrivedAt' | 'deadline' | 'route'>
   /** When it began to wait, for one that may have run and has endpoints that it has not tried; it can't be refused any more. */
   resumedAt: number | undefined
   /** For how long every endpoint that it might have wants nothing, in ms; 0 where one takes work. */
-  restMs: number
+  availabilityDelayMs: number
   now: number
 }
 
 /** Gives until when a request waits, by the monotonic clock; what would not have an endpoint by then is given up at once. */
-export function waitsUntil ({ call, resumedAt, restMs, now }: PatienceOptions): number {
+export function findWaitDeadline ({ call, resumedAt, availabilityDelayMs, now }: EndpointWaitOptions): number {
   const { arrivedAt, deadline, route } = call
   const until = Math.min(deadline, (resumedAt ?? arrivedAt) + PATIENCE_SHARE * route.targetMs)
-  const restEnds = now + restMs
-  if (restMs <= 0 || restEnds <= until) return until
+  const restEnds = now + availabilityDelayMs
+  if (availabilityDelayMs <= 0 || restEnds <= until) return until
   if (resumedAt === undefined) return now
   const longest = Math.min(deadline, resumedAt + MAX_RESUME_WAIT_MS)
   // All of that time, since the endpoint comes back by slow start.
@@ -37,7 +37,7 @@
 }
 
 /** Gives after which time a caller is asked to come back where all endpoints rest, in ms: the more urgent first, and not all at once. */
-export function returnAfterMs (restMs: number, tier: number, random: () => number = Math.random): number {
+export function chooseRetryAfterMs (restMs: number, tier: number, random: () => number = Math.random): number {
   const place = Math.min(tier, RETURN_TIERS - 1)
   return restMs + RETURN_SPREAD_MS * (place + random()) / RETURN_TIERS
 }
--- a/entry/gateway/src/entry-count.ts
+++ b/entry/gateway/src/entry-count.ts
@@ -15,7 +15,7 @@
   private readonly words = new Map<string, Word>()
 
   /** Takes the count of the control process at an address. */
-  note (address: string, entries: number, now: number): void {
+  record (address: string, entries: number, now: number): void {
     const known = this.words.get(address)
     // A lower count replaces a higher one only once that is old: entries that link anew are missing for a moment.
     if (known !== undefined && known.entries > entries && now - known.toldAt <= VALID_MS) return
--- a/entry/gateway/src/evacuated-places.ts
+++ b/entry/gateway/src/evacuated-data-centres.ts
@@ -2,21 +2,21 @@
 import { type RevisionStore } from '@gullwall/config.spread'
 import { evacuationsIn, type StoredEvacuation } from '@gullwall/control.state'
 import { type Logger } from '@gullwall/core.logger'
-import { type PlaceRule } from './eligibility.ts'
+import { type DataCentreRule } from './eligibility.ts'
 
-export interface EvacuatedPlacesOptions {
+export interface EvacuatedDataCentresOptions {
   store: RevisionStore
   logger: Logger
   /** Has requests that wait for an endpoint look again. */
   view: { wake: () => void }
 }
 
-export class EvacuatedPlaces {
+export class EvacuatedDataCentres {
   private known = new Map<string, StoredEvacuation>()
   private hasRecords = false
   private readonly listeners = new Set<(dataCentre: string) => void>()
 
-  constructor (private readonly options: EvacuatedPlacesOptions) {
+  constructor (private readonly options: EvacuatedDataCentresOptions) {
     this.recordsChanged()
     options.store.onChange(() => this.recordsChanged())
   }
@@ -40,7 +40,7 @@
   }
 
   /** The rule of eligibility. */
-  readonly rule: PlaceRule = (dataCentre) => this.isEvacuated(dataCentre) ? `data centre ${dataCentre} is evacuated` : undefined
+  readonly rule: DataCentreRule = (dataCentre) => this.isEvacuated(dataCentre) ? `data centre ${dataCentre} is evacuated` : undefined
 
   private recordsChanged (): void {
     const { store, view } = this.options
--- a/entry/gateway/src/events.ts
+++ b/entry/gateway/src/event-splitter.ts
@@ -5,16 +5,16 @@
 const ID_LINE = /^id: ?(.*)$/m
 
 /** Whole events that have arrived, and the id of the last of them. */
-export interface WholeEvents {
+export interface CompleteEvents {
   bytes: Buffer
   lastId: string | undefined
 }
 
-export class EventCutter {
+export class EventSplitter {
   private rest: Buffer = Buffer.alloc(0)
 
   /** Takes bytes and gives the whole events among all that has arrived; none if there is none. */
-  take (chunk: Buffer): WholeEvents | undefined {
+  push (chunk: Buffer): CompleteEvents | undefined {
     const bytes = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk])
     const end = endOfLastEvent(bytes)
     this.rest = bytes.subarray(end)
--- a/entry/gateway/src/exchange.ts
+++ b/entry/gateway/src/exchange.ts
@@ -19,9 +19,9 @@
   /** How long the connection may take to be made, in ms. */
   connectMs: number
   /** Asked right before the first byte is written, after any wait for a connection: why it is no longer to be sent. */
-  whyNot: () => string | undefined
+  findRefusalReason: () => string | undefined
   /** Whether the connection that is ending right now was closed and not reset. */
-  wasClosedWell: () => Promise<boolean>
+  wasClosedCleanly: () => Promise<boolean>
 }
 
 /** Told what arrives, in order. */
@@ -38,11 +38,11 @@
  * listens at its address. `withheld`: the same, though the endpoint could be reached. `broken`: it may have run; `isClosed`
  * says that the connection ended by itself, and not because it was given up here.
  */
-export type ExchangeEnd =
+export type ExchangeOutcome =
   | { type: 'complete' }
-  | { type: 'unsent', why: string, isRefused?: boolean }
-  | { type: 'withheld', why: string }
-  | { type: 'broken', why: string, isClosed: boolean }
+  | { type: 'unsent', reason: string, isRefused?: boolean }
+  | { type: 'withheld', reason: string }
+  | { type: 'broken', reason: string, isClosed: boolean }
   | { type: 'cancelled' }
 
 /** The lowest status of an answer; those below it precede one. */
@@ -54,8 +54,8 @@
   'onRequestStart' | 'onResponseStart' | 'onResponseData' | 'onResponseEnd' | 'onResponseError'>>
 
 export class Exchange {
-  readonly ended: Promise<ExchangeEnd>
-  private settle!: (end: ExchangeEnd) => void
+  readonly outcome: Promise<ExchangeOutcome>
+  private settle!: (end: ExchangeOutcome) => void
   private controller: Dispatcher.DispatchController | undefined
   private isOver = false
   private isFramed = true
@@ -63,15 +63,15 @@
   private sentAt = -Infinity
 
   constructor (dispatcher: Dispatcher, origin: string, request: ExchangeRequest, private readonly listener: ExchangeListener) {
-    this.ended = new Promise((resolve) => { this.settle = resolve })
-    this.connectTimer = setTimeout(() => this.end({ type: 'unsent', why: `no connection within ${request.connectMs} ms` }), request.connectMs)
+    this.outcome = new Promise((resolve) => { this.settle = resolve })
+    this.connectTimer = setTimeout(() => this.end({ type: 'unsent', reason: `no connection within ${request.connectMs} ms` }), request.connectMs)
     const { method, path, headers, body } = request
     try {
       dispatcher.dispatch({
         origin, method: method as Dispatcher.HttpMethod, path, headers, body: body ?? null, headersTimeout: 0, bodyTimeout: 0, reset: false
       }, this.handler(request, performance.now() + request.connectMs))
     } catch (error) {
-      this.end({ type: 'unsent', why: messageOf(error) })
+      this.end({ type: 'unsent', reason: messageOf(error) })
     }
   }
 
@@ -86,8 +86,8 @@
   }
 
   /** Ends the exchange in favour of another attempt. */
-  giveUp (why: string): void {
-    this.end(this.isSent ? { type: 'broken', why, isClosed: false } : { type: 'unsent', why })
+  abandon (why: string): void {
+    this.end(this.isSent ? { type: 'broken', reason: why, isClosed: false } : { type: 'unsent', reason: why })
   }
 
   pause (): void {
@@ -100,10 +100,10 @@
 
   /** Ends an answer that has no length: it is whole only if its connection was closed and not reset. */
   private async endWith (closedWell: Promise<boolean>): Promise<void> {
-    this.end(await closedWell ? { type: 'complete' } : { type: 'broken', why: 'the connection was reset', isClosed: true })
+    this.end(await closedWell ? { type: 'complete' } : { type: 'broken', reason: 'the connection was reset', isClosed: true })
   }
 
-  private end (end: ExchangeEnd): void {
+  private end (end: ExchangeOutcome): void {
     if (this.isOver) return
     this.isOver = true
     clearTimeout(this.connectTimer)
@@ -111,23 +111,23 @@
     this.settle(end)
   }
 
-  private handler ({ wasClosedWell, whyNot }: ExchangeRequest, connectBy: number): Handler {
+  private handler ({ wasClosedCleanly, findRefusalReason }: ExchangeRequest, connectBy: number): Handler {
     return {
       onRequestStart: (controller) => {
         // A process that was frozen finds its connection before the timer; what it was given leave to send is over by then.
-        if (performance.now() > connectBy) this.end({ type: 'unsent', why: 'the connection was made too late' })
+        if (performance.now() > connectBy) this.end({ type: 'unsent', reason: 'the connection was made too late' })
         if (this.isOver) {
           // Nothing has been written yet, and nothing will be.
           controller.abort(new Error('given up before it was sent'))
           return
         }
         clearTimeout(this.connectTimer)
-        const why = whyNot()
+        const why = findRefusalReason()
         if (why === undefined) {
           this.controller = controller
           this.sentAt = performance.now()
         } else {
-          this.end({ type: 'withheld', why })
+          this.end({ type: 'withheld', reason: why })
           controller.abort(new Error(why))
         }
       },
@@ -136,18 +136,18 @@
         if (this.isOver || status < FINAL) return
         this.isFramed = headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined || NO_BODY.has(status)
         if (this.listener.onHead({ status, headers, sentAt: this.sentAt })) return
-        this.end({ type: 'broken', why: 'the head is not that of an answer to this request', isClosed: false })
+        this.end({ type: 'broken', reason: 'the head is not that of an answer to this request', isClosed: false })
       },
       onResponseData: (_controller, chunk) => {
         if (!this.isOver) this.listener.onData(chunk)
       },
       onResponseEnd: () => {
         if (this.isFramed) this.end({ type: 'complete' })
-        else void this.endWith(wasClosedWell())
+        else void this.endWith(wasClosedCleanly())
       },
       onResponseError: (_controller, error) => {
         const why = messageOf(error)
-        this.end(this.isSent ? { type: 'broken', why, isClosed: true } : { type: 'unsent', why, isRefused: isRefusal(error) })
+        this.end(this.isSent ? { type: 'broken', reason: why, isClosed: true } : { type: 'unsent', reason: why, isRefused: isRefusal(error) })
       }
     }
   }
--- a/entry/gateway/src/grant-purse.ts
+++ b/entry/gateway/src/grant-pool.ts
@@ -10,53 +10,53 @@
 }
 
 /** A grant as it is held here. */
-export interface HeldGrant extends NewGrant {
+export interface ActiveGrant extends NewGrant {
   /** For how long the box had been suspended when the grant was noted, in ms. */
-  sleptMs: number
+  suspendedMs: number
 }
 
-export class GrantPurse {
-  private readonly grants = new Map<string, HeldGrant[]>()
+export class GrantPool {
+  private readonly grants = new Map<string, ActiveGrant[]>()
 
   /** @param slept tells for how long this box has been suspended so far, in ms */
-  constructor (private readonly slept: () => number = () => suspensions.slept()) {}
+  constructor (private readonly slept: () => number = () => suspensions.suspendedMs()) {}
 
   /** Notes a grant; one that is over already is dropped. */
   add (incarnation: string, grant: NewGrant, now: number): void {
     if (grant.requests <= 0 || grant.until <= now) return
-    this.grants.set(incarnation, [...this.live(incarnation, now), { ...grant, sleptMs: this.slept() }])
+    this.grants.set(incarnation, [...this.live(incarnation, now), { ...grant, suspendedMs: this.slept() }])
   }
 
   /** How many requests may be sent to an endpoint now. */
-  left (incarnation: string, now: number): number {
+  countAvailable (incarnation: string, now: number): number {
     return this.live(incarnation, now).reduce((sum, { requests }) => sum + requests, 0)
   }
 
   /** Uses the grant that ends first for one request; false where there is none. What is used never comes back. */
-  take (incarnation: string, now: number): boolean {
+  tryTake (incarnation: string, now: number): boolean {
     return this.takeGrant(incarnation, now) !== undefined
   }
 
   /** The same, and gives the grant. */
-  takeGrant (incarnation: string, now: number): HeldGrant | undefined {
+  takeGrant (incarnation: string, now: number): ActiveGrant | undefined {
     const [first] = this.live(incarnation, now).sort((left, right) => left.until - right.until)
     if (first !== undefined) first.requests -= 1
     return first
   }
 
   /** Whether the time in which a grant is used has passed. */
-  isOver ({ until, sleptMs }: HeldGrant, now: number): boolean {
-    return now + this.slept() - sleptMs >= until
+  isExpired ({ until, suspendedMs }: ActiveGrant, now: number): boolean {
+    return now + this.slept() - suspendedMs >= until
   }
 
   forget (incarnation: string): void {
     this.grants.delete(incarnation)
   }
 
-  private live (incarnation: string, now: number): HeldGrant[] {
+  private live (incarnation: string, now: number): ActiveGrant[] {
     const held = this.grants.get(incarnation)
     if (held === undefined) return []
-    const live = held.filter((grant) => grant.requests > 0 && !this.isOver(grant, now))
+    const live = held.filter((grant) => grant.requests > 0 && !this.isExpired(grant, now))
     if (live.length > 0) this.grants.set(incarnation, live)
     else this.grants.delete(incarnation)
     return live
--- a/entry/gateway/src/grant-asker.ts
+++ b/entry/gateway/src/grant-requester.ts
@@ -5,9 +5,9 @@
  */
 import { messageOf } from '@gullwall/core.error'
 import { type Logger } from '@gullwall/core.logger'
-import { rankOf } from '@gullwall/routing.balancer'
-import { type Grant, type GrantWish } from '@gullwall/transport.messages'
-import { type GrantPurse } from './grant-purse.ts'
+import { hashName } from '@gullwall/routing.balancer'
+import { type Grant, type GrantRequest } from '@gullwall/transport.messages'
+import { type GrantPool } from './grant-pool.ts'
 
 /** Grants are wished for the requests of this time, in ms: for so long a grant is usable. */
 const USE_MS = 500
@@ -29,21 +29,21 @@
 const MAX_WISHES = 32
 
 /** The time between two asks of one of so many boxes, in ms, so that all of them together do not ask more than is answered. */
-export function askSpacingMs (boxes: number): number {
+export function grantRequestSpacingMs (boxes: number): number {
   return 1000 * boxes / ASKS_PER_SECOND
 }
 
-export interface GrantAskerOptions {
+export interface GrantRequesterOptions {
   box: string
   logger: Logger
-  ask: (wishes: GrantWish[]) => Promise<Grant[]>
+  requestGrants: (wishes: GrantRequest[]) => Promise<Grant[]>
   wake: () => void
   now: () => number
-  purse: GrantPurse
+  grantPool: GrantPool
   /** How many boxes ask. */
-  entries: () => number
+  entryCount: () => number
   /** The limit that an endpoint has named, in requests a second; undefined where it takes any number. */
-  namedLimitOf?: ((incarnation: string) => number | undefined) | undefined
+  advertisedLimitOf?: ((incarnation: string) => number | undefined) | undefined
 }
 
 /** An endpoint that a request could have had with a grant. */
@@ -58,9 +58,9 @@
   wishedAt: number
 }
 
-export class GrantAsker {
+export class GrantRequester {
   /** Asks since the start, and those of them that nobody answered. */
-  readonly totals = { asks: 0, failed: 0 }
+  readonly totals = { requests: 0, failed: 0 }
   private readonly wished = new Map<string, Wished>()
   private readonly arrivals = new Map<string, number[]>()
   /** The requests of each service that were counted. */
@@ -69,10 +69,10 @@
   private timer: NodeJS.Timeout | undefined
   private nextAskAt = -Infinity
 
-  constructor (private readonly options: GrantAskerOptions) {}
+  constructor (private readonly options: GrantRequesterOptions) {}
 
   /** Counts a request of a service, once, however often it looks for an endpoint. */
-  noteRequest (service: string, call: object): void {
+  recordRequest (service: string, call: object): void {
     const counted = this.counted.get(service) ?? new WeakSet()
     this.counted.set(service, counted)
     if (counted.has(call)) return
@@ -82,11 +82,11 @@
   }
 
   /** Notes that a request could have an endpoint with a grant, and asks for it as soon as it may. */
-  wish ({ incarnation, service }: Pick<Wished, 'incarnation' | 'service'>): void {
+  requestGrant ({ incarnation, service }: Pick<Wished, 'incarnation' | 'service'>): void {
     const now = this.options.now()
     const known = this.wished.get(incarnation)
     if (known !== undefined) known.wishedAt = now
-    else this.wished.set(incarnation, { incarnation, service, rank: rankOf(`${this.options.box} ${incarnation}`), notBefore: -Infinity, wishedAt: now })
+    else this.wished.set(incarnation, { incarnation, service, rank: hashName(`${this.options.box} ${incarnation}`), notBefore: -Infinity, wishedAt: now })
     if (!this.isAsking && now >= this.nextAskAt) void this.askSoon()
   }
 
@@ -119,12 +119,12 @@
     clearTimeout(this.timer)
   }
 
-  private async askFor (wishes: GrantWish[], askedAt: number): Promise<void> {
-    const { ask, wake, logger, now, entries } = this.options
-    this.totals.asks += 1
-    this.nextAskAt = askedAt + Math.max(SPACING_MS, askSpacingMs(entries()))
+  private async askFor (wishes: GrantRequest[], askedAt: number): Promise<void> {
+    const { requestGrants, wake, logger, now, entryCount } = this.options
+    this.totals.requests += 1
+    this.nextAskAt = askedAt + Math.max(SPACING_MS, grantRequestSpacingMs(entryCount()))
     try {
-      for (const grant of await ask(wishes)) this.note(grant, askedAt)
+      for (const grant of await requestGrants(wishes)) this.note(grant, askedAt)
       wake()
     } catch (error) {
       this.totals.failed += 1
@@ -138,22 +138,22 @@
     const now = this.options.now()
     const until = askedAt + withinMs
     // Control that does not know of limits grants without regard to them.
-    const isUsable = requests > 0 && (perSecond !== undefined || this.options.namedLimitOf?.(incarnation) === undefined)
-    if (isUsable) this.options.purse.add(incarnation, { requests, until }, now)
+    const isUsable = requests > 0 && (perSecond !== undefined || this.options.advertisedLimitOf?.(incarnation) === undefined)
+    if (isUsable) this.options.grantPool.add(incarnation, { requests, until }, now)
     const wished = this.wished.get(incarnation)
     if (wished !== undefined && !isUsable) wished.notBefore = until
   }
 
   /** What to ask for: as much as the requests of late need beyond what is at hand, at the endpoints that this box prefers. */
-  private wishes (now: number): GrantWish[] {
-    const wishes: GrantWish[] = []
+  private wishes (now: number): GrantRequest[] {
+    const wishes: GrantRequest[] = []
     const missing = this.missing(now)
     for (const wished of this.askable(now)) {
       const requests = Math.min(MAX_WISH, missing.get(wished.service) ?? 0)
       if (requests <= 0) continue
       if (wishes.length === MAX_WISHES) break
       missing.set(wished.service, (missing.get(wished.service) ?? 0) - requests)
-      const perSecond = this.options.namedLimitOf?.(wished.incarnation)
+      const perSecond = this.options.advertisedLimitOf?.(wished.incarnation)
       wishes.push({ incarnation: wished.incarnation, service: wished.service, requests, ...(perSecond === undefined ? {} : { perSecond }) })
     }
     return wishes
@@ -163,7 +163,7 @@
   private missing (now: number): Map<string, number> {
     const atHand = new Map<string, number>()
     for (const { service, incarnation } of this.wished.values()) {
-      atHand.set(service, (atHand.get(service) ?? 0) + this.options.purse.left(incarnation, now))
+      atHand.set(service, (atHand.get(service) ?? 0) + this.options.grantPool.countAvailable(incarnation, now))
     }
     return new Map([...atHand].map(([service, left]) => {
       const needed = this.recent(service, now).length + HEADROOM
@@ -174,10 +174,10 @@
   /** The endpoints that may be asked for now, those that this box prefers first. */
   private askable (now: number): Wished[] {
     for (const [incarnation, { wishedAt }] of this.wished) {
-      if (now - wishedAt > USE_MS && this.options.purse.left(incarnation, now) === 0) this.wished.delete(incarnation)
+      if (now - wishedAt > USE_MS && this.options.grantPool.countAvailable(incarnation, now) === 0) this.wished.delete(incarnation)
     }
     return [...this.wished.values()]
-      .filter(({ notBefore, incarnation }) => now >= notBefore && this.options.purse.left(incarnation, now) === 0)
+      .filter(({ notBefore, incarnation }) => now >= notBefore && this.options.grantPool.countAvailable(incarnation, now) === 0)
       .sort((left, right) => left.rank - right.rank)
   }
 
--- a/entry/gateway/src/index.ts
+++ b/entry/gateway/src/index.ts
@@ -6,10 +6,10 @@
 import { Kernel } from '@gullwall/core.kernel'
 import { createLogger, type Logger } from '@gullwall/core.logger'
 import { type Registry } from '@gullwall/core.metrics'
-import { DEFAULT_WEIGHTS, OutputEstimate, RetryBudget, type ChoiceWeights } from '@gullwall/routing.balancer'
-import { allowedRegions } from './allowed-regions.ts'
-import { GatewayAdmin, gatewayRegistry } from './admin.ts'
-import { ColdEngines } from './cold-engines.ts'
+import { DEFAULT_WEIGHTS, OutputLengthEstimator, RetryBudget, type ChoiceWeights } from '@gullwall/routing.balancer'
+import { createAllowedRegionsRule } from './allowed-regions.ts'
+import { GatewayAdmin, createGatewayRegistry } from './admin.ts'
+import { ColdEndpoints } from './cold-endpoints.ts'
 import { Connections } from './connections.ts'
 import { ControlLinks } from './control-links.ts'
 import { DeploymentView } from './deployment-view.ts'
@@ -17,24 +17,24 @@
 import { type EligibilityRules } from './eligibility.ts'
 import { EndpointLimits } from './endpoint-limits.ts'
 import { EndpointNotices } from './endpoint-notices.ts'
-import { EvacuatedPlaces } from './evacuated-places.ts'
-import { GrantPurse } from './grant-purse.ts'
+import { EvacuatedDataCentres } from './evacuated-data-centres.ts'
+import { GrantPool } from './grant-pool.ts'
 import { Ingress } from './ingress.ts'
-import { gatewayMetrics, type GatewayMetrics } from './metrics.ts'
+import { createGatewayMetrics, type GatewayMetrics } from './metrics.ts'
 import { nativeDialect } from './native-dialect.ts'
 import { Quarantine } from './quarantine.ts'
-import { RegionCrossings } from './region-crossings.ts'
-import { UsageTeller } from './usage-teller.ts'
-import { WorkExchange } from './work-exchange.ts'
+import { CrossRegionTraffic } from './cross-region-traffic.ts'
+import { UsageTracker } from './usage-tracker.ts'
+import { LoadExchange } from './load-exchange.ts'
 
 export * from './dialect.ts'
 export { nativeDialect } from './native-dialect.ts'
-export { EventCutter } from './events.ts'
-export { EvacuatedPlaces } from './evacuated-places.ts'
+export { EventSplitter } from './event-splitter.ts'
+export { EvacuatedDataCentres } from './evacuated-data-centres.ts'
 export { AttemptHistory } from './attempt-history.ts'
 export { type Call } from './call.ts'
 export { chooseEndpoint } from './endpoint-choice.ts'
-export { WorkExchange } from './work-exchange.ts'
+export { LoadExchange } from './load-exchange.ts'
 
 export interface GatewayServices {
   settings: GatewaySettings
@@ -50,18 +50,18 @@
   store: RevisionStore
   spreader: Spreader
   connections: Connections
-  crossings: RegionCrossings
+  crossRegionTraffic: CrossRegionTraffic
   view: DeploymentView
-  evacuatedPlaces: EvacuatedPlaces
-  grantPurse: GrantPurse
-  coldEngines: ColdEngines
+  evacuatedDataCentres: EvacuatedDataCentres
+  grantPool: GrantPool
+  coldEndpoints: ColdEndpoints
   limits: EndpointLimits
   eligibility: EligibilityRules
   budget: RetryBudget
-  outputs: OutputEstimate
+  outputEstimate: OutputLengthEstimator
   controlLinks: ControlLinks
-  workExchange: WorkExchange
-  usage: UsageTeller
+  loadExchange: LoadExchange
+  usageTracker: UsageTracker
   quarantine: Quarantine
   notices: EndpointNotices
   ingress: Ingress
@@ -87,23 +87,23 @@
     .value('format', options.format ?? nativeFormat)
     .value('dialect', options.dialect ?? nativeDialect)
     .value('weights', { ...DEFAULT_WEIGHTS, ...options.weights })
-    .service('registry', () => gatewayRegistry())
-    .service('metrics', ({ registry }) => gatewayMetrics(registry))
+    .service('registry', () => createGatewayRegistry())
+    .service('metrics', ({ registry }) => createGatewayMetrics(registry))
     .service('store', ({ logger }) => new RevisionStore({ logger }))
     .service('spreader', ({ store }) => new Spreader(store, { takes: true }))
-    .service('connections', ({ crossings }) => new Connections((dataCentre, tookMs) => crossings.connected(dataCentre, tookMs)))
+    .service('connections', ({ crossRegionTraffic }) => new Connections((dataCentre, tookMs) => crossRegionTraffic.recordConnected(dataCentre, tookMs)))
     .service('view', (services) => new DeploymentView(services))
-    .service('crossings', (services) => new RegionCrossings(services))
-    .service('evacuatedPlaces', (services) => new EvacuatedPlaces(services))
-    .service('grantPurse', () => new GrantPurse())
-    .service('coldEngines', createColdEngines)
+    .service('crossRegionTraffic', (services) => new CrossRegionTraffic(services))
+    .service('evacuatedDataCentres', (services) => new EvacuatedDataCentres(services))
+    .service('grantPool', () => new GrantPool())
+    .service('coldEndpoints', createColdEngines)
     .service('limits', createLimits)
     .service('eligibility', createEligibility)
     .service('budget', (services) => createBudget(services))
-    .service('outputs', () => new OutputEstimate())
+    .service('outputEstimate', () => new OutputLengthEstimator())
     .service('controlLinks', (services) => new ControlLinks(services))
-    .service('workExchange', (services) => new WorkExchange(services))
-    .service('usage', (services) => new UsageTeller(services))
+    .service('loadExchange', (services) => new LoadExchange(services))
+    .service('usageTracker', (services) => new UsageTracker(services))
     .service('quarantine', (services) => new Quarantine(services))
     .service('notices', (services) => new EndpointNotices(services))
     .service('admin', (services) => new GatewayAdmin(services))
@@ -112,45 +112,47 @@
 
 function createBudget ({ settings, view }: GatewayServices): RetryBudget {
   return new RetryBudget({
-    ratio: settings.retryRatio, windowMs: settings.retryWindowMs, slack: settings.retrySlack, entries: () => view.entries
+    ratio: settings.retryRatio, windowMs: settings.retryWindowMs, slack: settings.retrySlack, entryCount: () => view.entryCount
   })
 }
 
 function createEligibility (services: GatewayServices): EligibilityRules {
-  const { evacuatedPlaces, coldEngines, limits, notices } = services
+  const { evacuatedDataCentres, coldEndpoints, limits, notices } = services
   // What an engine said of itself before its data centre was emptied may not hold any more.
-  evacuatedPlaces.onWithdrawn((dataCentre) => coldEngines.assumeCold(dataCentre))
-  return { places: [evacuatedPlaces.rule, allowedRegions(services)], endpoints: [notices.rule, coldEngines.rule, limits.rule] }
+  evacuatedDataCentres.onWithdrawn((dataCentre) => coldEndpoints.assumeCold(dataCentre))
+  return {
+    dataCentres: [evacuatedDataCentres.rule, createAllowedRegionsRule(services)], endpoints: [notices.rule, coldEndpoints.rule, limits.rule]
+  }
 }
 
-function createColdEngines (services: GatewayServices): ColdEngines {
+function createColdEngines (services: GatewayServices): ColdEndpoints {
   const { settings, logger, view } = services
-  return new ColdEngines({
+  return new ColdEndpoints({
     box: settings.box,
     logger,
     leaseOf: (incarnation) => view.leases.get(incarnation),
-    limitOf: (service) => view.table?.service(service)?.coldLimit,
+    coldLimitOf: (service) => view.table?.service(service)?.coldLimit,
     endpoints: () => view.all(),
-    entries: () => view.entries,
-    ask: async (wishes) => await services.controlLinks.askGrants(wishes),
+    entryCount: () => view.entryCount,
+    requestGrants: async (wishes) => await services.controlLinks.requestGrants(wishes),
     wake: () => view.wake(),
-    purse: services.grantPurse,
-    namedLimitOf: (incarnation) => services.limits.limitOf(incarnation)
+    grantPool: services.grantPool,
+    advertisedLimitOf: (incarnation) => services.limits.limitPerSecond(incarnation)
   })
 }
 
 function createLimits (services: GatewayServices): EndpointLimits {
-  const { logger, view, coldEngines, grantPurse } = services
+  const { logger, view, coldEndpoints, grantPool } = services
   const limits = new EndpointLimits({
     logger,
-    ask: async (wishes) => await services.controlLinks.askGrants(wishes),
+    requestGrants: async (wishes) => await services.controlLinks.requestGrants(wishes),
     wake: () => view.wake(),
     now: () => performance.now(),
-    purse: grantPurse,
-    entries: () => view.entries,
-    isCold: (endpoint) => coldEngines.isCold(endpoint),
-    onOver: (incarnation) => coldEngines.noteReopened(incarnation)
+    grantPool,
+    entryCount: () => view.entryCount,
+    isCold: (endpoint) => coldEndpoints.isCold(endpoint),
+    onLimitEnded: (incarnation) => coldEndpoints.recordReopened(incarnation)
   })
-  view.onLimits(limits)
+  view.setLimitListener(limits)
   return limits
 }
--- a/entry/gateway/src/ingress.ts
+++ b/entry/gateway/src/ingress.ts
@@ -2,11 +2,11 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { messageOf } from '@gullwall/core.error'
 import { isOpenedEarly, listenOn } from '@gullwall/transport.http-server'
-import { CallerAnswer, type ErrorAnswer } from './answer.ts'
+import { CallerResponse, type ErrorResponse } from './caller-response.ts'
 import { resolveCall, type Refusal } from './call.ts'
-import { Forwarding } from './forward.ts'
+import { RequestForwarder } from './request-forwarder.ts'
 import { type GatewayServices } from './index.ts'
-import { heldUntil, START_UP_MS } from './start-up.ts'
+import { holdDeadline, START_UP_MS } from './start-up.ts'
 
 /** Header bytes beyond the document's limit, for what the limit is not meant for, such as the request line. */
 const HEADER_MARGIN_BYTES = 16_384
@@ -94,13 +94,13 @@
     const arrivedAt = performance.now()
     const { services } = this
     const requestId = services.dialect.readCall(request.headers).requestId
-    const answer = new CallerAnswer(response, requestId, () => this.isStopping)
+    const answer = new CallerResponse(response, requestId, () => this.isStopping)
     this.inFlight += 1
     try {
       await this.serveWith(request, answer, requestId, arrivedAt)
     } catch (error) {
       services.logger.error({ channel: 'process', event: 'failed', why: `request ${requestId}: ${messageOf(error)}` })
-      answer.error({ status: 500, code: 'ERR_GULLWALL_UNEXPECTED', message: 'unexpected error', ran: 'unknown' })
+      answer.sendError({ status: 500, code: 'ERR_GULLWALL_UNEXPECTED', message: 'unexpected error', ran: 'unknown' })
     } finally {
       this.inFlight -= 1
       // An answer that began before the stop did not ask for its connection to be closed.
@@ -108,18 +108,18 @@
     }
   }
 
-  private async serveWith (request: IncomingMessage, answer: CallerAnswer, requestId: string, arrivedAt: number): Promise<void> {
+  private async serveWith (request: IncomingMessage, answer: CallerResponse, requestId: string, arrivedAt: number): Promise<void> {
     const { view, dialect, controlLinks } = this.services
     const body = await readBody(request, view.table?.document.limits.maxBodyBytes ?? MAX_BODY_BYTES)
     if (body === 'left') return
     if (this.takesNothing) {
-      const error: ErrorAnswer = { status: 503, code: 'ERR_GULLWALL_STOPPING', message: 'this process stops', ran: 'no', retryAfterMs: ELSEWHERE_MS }
+      const error: ErrorResponse = { status: 503, code: 'ERR_GULLWALL_STOPPING', message: 'this process stops', ran: 'no', retryAfterMs: ELSEWHERE_MS }
       this.refuse(answer, requestId, error)
       return
     }
-    await this.readyWithin(heldUntil(arrivedAt, this.services.startedAt))
+    await this.readyWithin(holdDeadline(arrivedAt, this.services.startedAt))
     const table = view.table
-    const notReady = controlLinks.notReady()
+    const notReady = controlLinks.findNotReadyReason()
     if (table === undefined || notReady !== undefined) {
       const message = notReady ?? 'not ready'
       this.refuse(answer, requestId, { status: 503, code: 'ERR_GULLWALL_NOT_READY', message, ran: 'no', retryAfterMs: NOT_READY_RETRY_MS })
@@ -134,15 +134,15 @@
       this.refuse(answer, requestId, { ...call, ran: 'no' })
       return
     }
-    await new Forwarding(this.services, call, answer).run()
+    await new RequestForwarder(this.services, call, answer).run()
   }
 
   private async readyWithin (endsAt: number): Promise<void> {
     const { controlLinks, view } = this.services
-    while (controlLinks.notReady() !== undefined && performance.now() < endsAt) await view.changeWithin(POLL_MS)
+    while (controlLinks.findNotReadyReason() !== undefined && performance.now() < endsAt) await view.waitForChange(POLL_MS)
   }
 
-  private refuse (answer: CallerAnswer, requestId: string, error: ErrorAnswer): void {
+  private refuse (answer: CallerResponse, requestId: string, error: ErrorResponse): void {
     const { logger, view, metrics } = this.services
     metrics.requests.inc({ route: '', outcome: `refused-${error.status}` })
     logger.sampled(`refuse ${error.status}`, {
@@ -158,7 +158,7 @@
       elapsedMs: 0,
       why: `${error.status} ${error.code}: ${error.message}`
     })
-    answer.error(error)
+    answer.sendError(error)
   }
 }
 
--- a/entry/gateway/src/work-exchange.ts
+++ b/entry/gateway/src/load-exchange.ts
@@ -1,6 +1,6 @@
 /** Tells what this entry has under way, and keeps what the others have, as control adds it up. */
-import { MIN_COPY_TOKENS, NO_OTHERS, sharedTokens, type EndpointState, type PromptPart } from '@gullwall/routing.balancer'
-import { type Holding, type MemoryUse, type MessageOf, type Observation, type WorkSummary } from '@gullwall/transport.messages'
+import { MIN_COPY_TOKENS, NO_OTHERS_LOAD, sharedPrefixTokens, type EndpointState, type PromptPart } from '@gullwall/routing.balancer'
+import { type Holding, type MemoryUse, type MessageOf, type Observation, type LoadSummary } from '@gullwall/transport.messages'
 import { type GatewayServices } from './index.ts'
 
 /** How often this entry looks whether there is something to tell, in ms. */
@@ -17,9 +17,9 @@
 /** What was sent where is kept so often at most while no control process can be told; the oldest gives way, as at the engines. */
 const MAX_UNTOLD_HOLDINGS = 1000
 
-export class WorkExchange {
+export class LoadExchange {
   /** What the others have under way, by endpoint; also at endpoints that are not known here yet. */
-  private readonly others = new Map<string, WorkSummary>()
+  private readonly others = new Map<string, LoadSummary>()
   private heardAt = -Infinity
   private timer: NodeJS.Timeout | undefined
   private toldText = ''
@@ -43,32 +43,32 @@
     this.heardAt = now
     if (whole) this.forgetOthers()
     for (const work of works) this.noteOthers(work)
-    for (const { incarnation, parts } of holdings) view.get(incarnation)?.noteKept(parts, now)
+    for (const { incarnation, parts } of holdings) view.get(incarnation)?.recordCached(parts, now)
     view.wake()
   }
 
-  private noteOthers (work: WorkSummary): void {
+  private noteOthers (work: LoadSummary): void {
     if (work.running + work.unread.length + work.unreachable > 0) this.others.set(work.incarnation, work)
     else this.others.delete(work.incarnation)
     const endpoint = this.services.view.get(work.incarnation)
-    if (endpoint !== undefined) endpoint.others = work
+    if (endpoint !== undefined) endpoint.othersLoad = work
   }
 
   /** Notes that an endpoint is about to get a prompt; the other entries are told of long parts that it has not had yet. */
-  noteSending ({ prefixes, description }: EndpointState, prompt: readonly PromptPart[]): void {
-    const shared = sharedTokens(prompt)
-    if (shared < MIN_COPY_TOKENS || prefixes.cachedTokens(prompt) >= shared) return
+  recordSending ({ prefixCache, description }: EndpointState, prompt: readonly PromptPart[]): void {
+    const shared = sharedPrefixTokens(prompt)
+    if (shared < MIN_COPY_TOKENS || prefixCache.cachedTokens(prompt) >= shared) return
     this.untoldHoldings.push({ incarnation: description.incarnation, parts: prompt.slice(0, -1).map(({ id, tokens }) => ({ id, tokens })) })
     if (this.untoldHoldings.length > MAX_UNTOLD_HOLDINGS) this.untoldHoldings.shift()
   }
 
   /** Notes that a prompt was sent. */
-  noteSent (unreadTokens: number): void {
+  recordSent (unreadTokens: number): void {
     if (unreadTokens > TELL_AT_ONCE_TOKENS) this.tellSoon()
   }
 
   /** Notes that an endpoint could not be connected to or has ended, which spares the others the same try. */
-  noteUnreachable (): void {
+  recordUnreachable (): void {
     this.tellSoon()
   }
 
@@ -80,20 +80,20 @@
   tick (): void {
     const now = performance.now()
     if (now - this.heardAt > VALID_MS) this.forgetOthers()
-    for (const { endpoint, turns } of this.services.view.nextTurn(now)) {
-      endpoint.others = this.others.get(endpoint.description.incarnation) ?? NO_OTHERS
-      endpoint.sampleReading(now, turns)
-      this.services.view.index.count(endpoint)
+    for (const { endpoint, ticks } of this.services.view.nextScanBatch(now)) {
+      endpoint.othersLoad = this.others.get(endpoint.description.incarnation) ?? NO_OTHERS_LOAD
+      endpoint.samplePrefill(now, ticks)
+      this.services.view.index.updateTotals(endpoint)
     }
     // An evacuated engine that is reserved would leave the streams that it is reserved for without one.
-    this.services.view.reserveEngines((dataCentre) => !this.services.evacuatedPlaces.isEvacuated(dataCentre))
+    this.services.view.reserveEngines((dataCentre) => !this.services.evacuatedDataCentres.isEvacuated(dataCentre))
     this.tellAfter(0)
   }
 
   private forgetOthers (): void {
     for (const incarnation of this.others.keys()) {
       const endpoint = this.services.view.get(incarnation)
-      if (endpoint !== undefined) endpoint.others = NO_OTHERS
+      if (endpoint !== undefined) endpoint.othersLoad = NO_OTHERS_LOAD
     }
     this.others.clear()
   }
@@ -106,38 +106,42 @@
     const text = JSON.stringify(works)
     const isChanged = text !== this.toldText || this.untoldHoldings.length > 0
     if (!isChanged && sinceTold < REPEAT_MS) return
-    if (!this.services.controlLinks.tellWork({ works, holdings: this.untoldHoldings, observations: this.takeObservations() })) return
+    if (!this.services.controlLinks.reportLoad({ works, holdings: this.untoldHoldings, observations: this.takeObservations() })) return
     this.untoldHoldings = []
     this.toldText = text
     this.toldAt = performance.now()
   }
 
   /** Takes what control has learnt of how engines read and how attempts end there. */
-  learn ({ readings }: MessageOf<'readings'>): void {
+  adoptReadings ({ readings }: MessageOf<'readings'>): void {
     const now = performance.now()
     for (const reading of readings) {
       const endpoint = this.services.view.get(reading.incarnation)
-      endpoint?.reading.adopt(reading)
+      endpoint?.prefill.adopt(reading)
       if (reading.failureShare !== undefined) endpoint?.outcomes.adopt(reading.failureShare, now)
     }
   }
 
   private takeObservations (): Observation[] {
-    return [...this.services.view.busy()].flatMap(({ description: { incarnation }, reading, outcomes }) => {
-      if (!reading.hasSeen && !outcomes.hasSeen) return []
-      return [{ incarnation, ...(reading.takeSeen() ?? { pauses: [], reads: [] }), ...(outcomes.hasSeen ? outcomes.takeSeen() : {}) }]
+    return [...this.services.view.busy()].flatMap(({ description: { incarnation }, prefill, outcomes }) => {
+      if (!prefill.hasObservations && !outcomes.hasObservations) return []
+      return [{
+        incarnation,
+        ...(prefill.takeObservations() ?? { pauses: [], reads: [] }),
+        ...(outcomes.hasObservations ? outcomes.takeObservations() : {})
+      }]
     })
   }
 
-  private ownWorks (): WorkSummary[] {
+  private ownWorks (): LoadSummary[] {
     const now = performance.now()
-    return [...this.services.view.busy()].filter((endpoint) => endpoint.inFlight > 0 || endpoint.isDead(now)).map((endpoint) => ({
+    return [...this.services.view.busy()].filter((endpoint) => endpoint.inFlight > 0 || endpoint.isUnreachable(now)).map((endpoint) => ({
       incarnation: endpoint.description.incarnation,
       unread: endpoint.ownUnread(),
       running: endpoint.inFlight,
-      strain: Math.round(100 * endpoint.ownStrain) / 100,
-      sensitive: endpoint.ownSensitive,
-      unreachable: endpoint.isDead(now) ? 1 : 0,
+      strain: Math.round(100 * endpoint.ownPauseSensitivity) / 100,
+      sensitive: endpoint.ownPauseSensitiveStreams,
+      unreachable: endpoint.isUnreachable(now) ? 1 : 0,
       ...(endpoint.inFlight > 0 ? { memory: memoryOf(endpoint) } : {})
     }))
   }
--- a/entry/gateway/src/metrics.ts
+++ b/entry/gateway/src/metrics.ts
@@ -9,25 +9,25 @@
   firstEvent: Histogram<'route'>
   longestPause: Histogram<'route'>
   queued: Histogram<'route'>
-  leavingRequests: Counter<'region'>
-  leavingBytes: Counter<'region'>
+  crossRegionRequests: Counter<'region'>
+  crossRegionBytes: Counter<'region'>
 }
 
-export function gatewayMetrics (registry: Registry): GatewayMetrics {
+export function createGatewayMetrics (registry: Registry): GatewayMetrics {
   return {
     requests: counter(registry, 'gullwall_requests_total', 'Requests by route and outcome', ['route', 'outcome']),
     duration: durationHistogram(registry, 'gullwall_request_seconds', 'From the arrival of a request to the end of its answer', ['route']),
     firstEvent: durationHistogram(registry, 'gullwall_first_event_seconds', 'From the arrival of a request to its first event', ['route']),
     longestPause: durationHistogram(registry, 'gullwall_longest_pause_seconds', 'The longest time between two events of a stream', ['route']),
     queued: durationHistogram(registry, 'gullwall_queued_seconds', 'From the arrival of a request to its first attempt', ['route']),
-    leavingRequests: counter(registry, 'gullwall_leaving_requests_total', 'Attempts sent to another region', ['region']),
-    leavingBytes: counter(registry, 'gullwall_leaving_bytes_total', 'Bytes of these and of their answers', ['region'])
+    crossRegionRequests: counter(registry, 'gullwall_leaving_requests_total', 'Attempts sent to another region', ['region']),
+    crossRegionBytes: counter(registry, 'gullwall_leaving_bytes_total', 'Bytes of these and of their answers', ['region'])
   }
 }
 
 /** Gauges of what this process believes, read when they are asked for. */
-export function beliefGauges (registry: Registry, services: GatewayServices): void {
-  const { view, controlLinks, budget, evacuatedPlaces, crossings, coldEngines, limits, quarantine, notices } = services
+export function registerStateGauges (registry: Registry, services: GatewayServices): void {
+  const { view, controlLinks, budget, evacuatedDataCentres, crossRegionTraffic, coldEndpoints, limits, quarantine, notices } = services
   const add = (name: string, help: string, value: () => number) => {
     const metric = gauge(registry, name, help)
     Object.assign(metric, { collect: () => metric.set(value()) })
@@ -35,28 +35,28 @@
   add('gullwall_document_version', 'Version of the routing document in force here', () => view.table?.version ?? 0)
   add('gullwall_document_age_seconds', 'How long it has been in force here', () => view.table === undefined ? 0 : view.documentAgeMs / 1000)
   add('gullwall_endpoints', 'Endpoints with a lease', () => view.endpointCount)
-  add('gullwall_evacuated_data_centres', 'Data centres that are evacuated as far as this process knows', () => evacuatedPlaces.evacuated.length)
+  add('gullwall_evacuated_data_centres', 'Data centres that are evacuated as far as this process knows', () => evacuatedDataCentres.evacuated.length)
   add('gullwall_control_links', 'Open links to control processes', () => controlLinks.openCount)
-  add('gullwall_region_round_trip_seconds', 'Time to connect to another region', () => crossings.link.roundTripMs / 1000)
+  add('gullwall_region_round_trip_seconds', 'Time to connect to another region', () => crossRegionTraffic.link.roundTripMs / 1000)
   add('gullwall_log_lines_dropped', 'Log lines left out since the start', () => droppedLines())
-  add('gullwall_retry_budget_left', 'Repeats that may still be sent now', () => budget.left)
-  add('gullwall_cold_endpoints', 'Endpoints that are cold, as this process knows', () => coldEngines.coldCount)
-  add('gullwall_cold_kept_requests_total', 'Requests kept from a cold endpoint for want of a grant', () => coldEngines.totals.kept)
-  add('gullwall_cold_sent_requests_total', 'Requests sent to cold endpoints under a grant', () => coldEngines.totals.sent)
-  add('gullwall_endpoint_crashes_total', 'Crashes of endpoints at which requests of this process were running', () => quarantine.crashes)
+  add('gullwall_retry_budget_left', 'Repeats that may still be sent now', () => budget.remaining)
+  add('gullwall_cold_endpoints', 'Endpoints that are cold, as this process knows', () => coldEndpoints.coldCount)
+  add('gullwall_cold_kept_requests_total', 'Requests kept from a cold endpoint for want of a grant', () => coldEndpoints.totals.excluded)
+  add('gullwall_cold_sent_requests_total', 'Requests sent to cold endpoints under a grant', () => coldEndpoints.totals.sent)
+  add('gullwall_endpoint_crashes_total', 'Crashes of endpoints at which requests of this process were running', () => quarantine.crashCount)
   add('gullwall_quarantined_requests', 'Requests that are held because endpoints crash under them, as this process knows', () => quarantine.size)
-  add('gullwall_quarantine_refusals_total', 'Requests that were refused since they are held', () => quarantine.refused)
+  add('gullwall_quarantine_refusals_total', 'Requests that were refused since they are held', () => quarantine.refusedCount)
   add('gullwall_backing_off_endpoints', 'Endpoints that asked this process to be left alone, or come back from that', () => notices.backoffs.size)
-  add('gullwall_backoffs_asked_total', 'Answers in which endpoints asked to be left alone', () => notices.backoffs.asked)
+  add('gullwall_backoffs_asked_total', 'Answers in which endpoints asked to be left alone', () => notices.backoffs.requestedCount)
   add('gullwall_draining_heard_total', 'Endpoints of which an answer first told that they drain', () => notices.totals.draining)
   add('gullwall_unreadable_notices_total', 'Times and limits named by endpoints that could not be understood', () => notices.totals.unreadable)
   add('gullwall_limits_named_total', 'Answers in which endpoints named a limit of requests a second', () => notices.totals.limits)
   add('gullwall_limited_endpoints', 'Endpoints that have named a limit, as this process knows', () => limits.size)
-  add('gullwall_limited_kept_requests_total', 'Requests kept from a limited endpoint for want of a grant', () => limits.totals.kept)
+  add('gullwall_limited_kept_requests_total', 'Requests kept from a limited endpoint for want of a grant', () => limits.totals.excluded)
   add('gullwall_limited_sent_requests_total', 'Requests sent to limited endpoints under a grant', () => limits.totals.sent)
   add('gullwall_limited_withheld_requests_total', 'Requests kept back before their first byte', () => limits.totals.withheld)
-  add('gullwall_limited_asks_total', 'Asks for grants to limited endpoints', () => limits.asker.totals.asks)
-  add('gullwall_limited_failed_asks_total', 'Such asks that nobody answered', () => limits.asker.totals.failed)
-  add('gullwall_cold_asks_total', 'Asks for grants', () => coldEngines.asker.totals.asks)
-  add('gullwall_cold_failed_asks_total', 'Asks for grants that nobody answered', () => coldEngines.asker.totals.failed)
+  add('gullwall_limited_asks_total', 'Asks for grants to limited endpoints', () => limits.grantRequester.totals.requests)
+  add('gullwall_limited_failed_asks_total', 'Such asks that nobody answered', () => limits.grantRequester.totals.failed)
+  add('gullwall_cold_asks_total', 'Asks for grants', () => coldEndpoints.grantRequester.totals.requests)
+  add('gullwall_cold_failed_asks_total', 'Asks for grants that nobody answered', () => coldEndpoints.grantRequester.totals.failed)
 }
--- a/entry/gateway/src/native-dialect.ts
+++ b/entry/gateway/src/native-dialect.ts
@@ -1,6 +1,6 @@
 /** The product's own headers. */
-import { readNotices } from '@gullwall/endpoint.notices'
-import { countOf, headerOf, passedOn, type CallDialect, type HeaderRules } from './dialect.ts'
+import { parseNotices } from '@gullwall/endpoint.notices'
+import { parsePositiveNumber, firstHeaderValue, filterForwardedHeaders, type CallDialect, type HeaderRules } from './dialect.ts'
 
 const REQUEST_ID = 'x-gullwall-request-id'
 const WAIT = 'x-gullwall-wait-ms'
@@ -15,27 +15,30 @@
 const LAST_EVENT = 'last-event-id'
 
 const HEADER_RULES: HeaderRules = {
-  dropped: new Set([WAIT, ORGANISATION, URGENCY, INCARNATION, LAST_EVENT, PREFIX_SOURCE, 'authorization']),
-  kept: new Set([REQUEST_ID, PROMPT, 'host', 'content-type'])
+  neverForwarded: new Set([WAIT, ORGANISATION, URGENCY, INCARNATION, LAST_EVENT, PREFIX_SOURCE, 'authorization']),
+  alwaysForwarded: new Set([REQUEST_ID, PROMPT, 'host', 'content-type'])
 }
 
 export const nativeDialect: CallDialect = {
   readCall: (headers) => {
-    const wait = Number(headerOf(headers, WAIT))
+    const wait = Number(firstHeaderValue(headers, WAIT))
     return {
-      requestId: headerOf(headers, REQUEST_ID) ?? '',
+      requestId: firstHeaderValue(headers, REQUEST_ID) ?? '',
       waitMs: Number.isFinite(wait) && wait > 0 ? wait : undefined,
-      lastEventId: headerOf(headers, LAST_EVENT),
-      prompt: (headerOf(headers, PROMPT) ?? '').split(',').filter(Boolean).map((part) => {
+      lastEventId: firstHeaderValue(headers, LAST_EVENT),
+      prompt: (firstHeaderValue(headers, PROMPT) ?? '').split(',').filter(Boolean).map((part) => {
         const [id = '', tokens = '0'] = part.split(':')
         return { id, tokens: Number(tokens) }
       }),
-      output: { hint: countOf(headerOf(headers, LENGTH_HINT)), most: countOf(headerOf(headers, MOST_TOKENS)) },
-      key: /^Bearer\s+(\S+)$/i.exec(headerOf(headers, 'authorization') ?? '')?.[1]
+      output: {
+        expectedTokens: parsePositiveNumber(firstHeaderValue(headers, LENGTH_HINT)),
+        maxTokens: parsePositiveNumber(firstHeaderValue(headers, MOST_TOKENS))
+      },
+      key: /^Bearer\s+(\S+)$/i.exec(firstHeaderValue(headers, 'authorization') ?? '')?.[1]
     }
   },
   attemptHeaders: (rawHeaders, facts) => {
-    const headers = passedOn(rawHeaders, HEADER_RULES)
+    const headers = filterForwardedHeaders(rawHeaders, HEADER_RULES)
     headers.push(WAIT, String(facts.remainingMs), INCARNATION, facts.incarnation, URGENCY, String(facts.urgency))
     if (facts.organisation !== undefined) headers.push(ORGANISATION, facts.organisation)
     if (facts.lastEventId !== undefined) headers.push(LAST_EVENT, facts.lastEventId)
@@ -43,9 +46,9 @@
     return headers
   },
   readAnswer: (status, headers) => ({
-    requestId: headerOf(headers, REQUEST_ID),
-    isSigned: headers[REQUEST_ID] !== undefined,
-    isNotRun: headerOf(headers, RAN) === 'no',
-    notices: readNotices({ status, headers })
+    requestId: firstHeaderValue(headers, REQUEST_ID),
+    isFromService: headers[REQUEST_ID] !== undefined,
+    isNotRun: firstHeaderValue(headers, RAN) === 'no',
+    notices: parseNotices({ status, headers })
   })
 }
--- a/entry/gateway/src/on-demand-asker.ts
+++ b/entry/gateway/src/on-demand-requester.ts
@@ -4,9 +4,9 @@
  */
 import { messageOf } from '@gullwall/core.error'
 import { type Logger } from '@gullwall/core.logger'
-import { type Grant, type GrantWish } from '@gullwall/transport.messages'
-import { askSpacingMs } from './grant-asker.ts'
-import { type GrantPurse } from './grant-purse.ts'
+import { type Grant, type GrantRequest } from '@gullwall/transport.messages'
+import { grantRequestSpacingMs } from './grant-requester.ts'
+import { type GrantPool } from './grant-pool.ts'
 
 /** A request waits for an answer of control for so long, in ms; then it goes elsewhere. */
 const PATIENCE_MS = 100
@@ -17,28 +17,28 @@
 /** Many boxes together ask more than control is to answer rather than let requests wait longer between two asks, in ms. */
 const MAX_SPACING_MS = 50
 
-export interface OnDemandAskerOptions {
+export interface OnDemandRequesterOptions {
   logger: Logger
-  ask: (wishes: GrantWish[]) => Promise<Grant[]>
+  requestGrants: (wishes: GrantRequest[]) => Promise<Grant[]>
   /** Has requests that wait for an endpoint look again. */
   wake: () => void
   now: () => number
-  purse: GrantPurse
+  grantPool: GrantPool
   /** How many boxes ask. */
-  entries: () => number
+  entryCount: () => number
 }
 
 /** What is asked for, but how many. */
-export type Wanted = Omit<GrantWish, 'requests'>
+export type OnDemandGrantRequest = Omit<GrantRequest, 'requests'>
 
 interface Pending {
-  wanted: Wanted
+  wanted: OnDemandGrantRequest
   waiters: Array<() => void>
 }
 
-export class OnDemandAsker {
+export class OnDemandRequester {
   /** Since the start: asks, those that nobody answered, wishes that were granted and refused. */
-  readonly totals = { asks: 0, failed: 0, granted: 0, refused: 0 }
+  readonly totals = { requests: 0, failed: 0, granted: 0, refused: 0 }
   private pending = new Map<string, Pending>()
   /** Endpoints that were refused, and until when they are not asked for again. */
   private readonly notBefore = new Map<string, number>()
@@ -47,7 +47,7 @@
   private isAsking = false
   private wakeTimer: NodeJS.Timeout | undefined
 
-  constructor (private readonly options: OnDemandAskerOptions) {}
+  constructor (private readonly options: OnDemandRequesterOptions) {}
 
   stop (): void {
     clearTimeout(this.wakeTimer)
@@ -64,7 +64,7 @@
   }
 
   /** Asks for one request, and resolves once control has answered or the request should not wait any longer. */
-  async ask (wanted: Wanted): Promise<void> {
+  async requestGrant (wanted: OnDemandGrantRequest): Promise<void> {
     if (this.waitMs(wanted.incarnation) > 0) return
     await new Promise<void>((resolve) => {
       const timer = setTimeout(resolve, PATIENCE_MS)
@@ -92,14 +92,14 @@
   }
 
   private async askOnce (): Promise<void> {
-    const { ask, now, entries, logger } = this.options
+    const { requestGrants, now, entryCount, logger } = this.options
     const asked = [...this.pending.values()].slice(0, MAX_WISHES)
     for (const { wanted } of asked) this.pending.delete(wanted.incarnation)
     const askedAt = now()
-    this.totals.asks += 1
-    this.nextAskAt = askedAt + Math.min(MAX_SPACING_MS, askSpacingMs(entries()))
+    this.totals.requests += 1
+    this.nextAskAt = askedAt + Math.min(MAX_SPACING_MS, grantRequestSpacingMs(entryCount()))
     try {
-      const grants = await ask(asked.map(({ wanted, waiters }) => ({ ...wanted, requests: waiters.length })))
+      const grants = await requestGrants(asked.map(({ wanted, waiters }) => ({ ...wanted, requests: waiters.length })))
       for (const grant of grants) this.note(grant, askedAt)
     } catch (error) {
       this.totals.failed += 1
@@ -114,12 +114,12 @@
 
   /** The time of a grant and of a refusal runs from the ask: control can't know for how long the answer was under way. */
   private note ({ incarnation, requests, withinMs, perSecond }: Grant, askedAt: number): void {
-    const { purse, now } = this.options
+    const { grantPool, now } = this.options
     const until = askedAt + withinMs
     // Control that does not know of limits grants without regard to them.
     if (requests > 0 && perSecond !== undefined) {
       this.totals.granted += requests
-      purse.add(incarnation, { requests, until }, now())
+      grantPool.add(incarnation, { requests, until }, now())
     } else {
       this.totals.refused += 1
       this.notBefore.set(incarnation, until)
--- a/entry/gateway/src/listening-choice.ts
+++ b/entry/gateway/src/primary-link-selector.ts
@@ -15,13 +15,13 @@
   toldAt: number
 }
 
-export class ListeningChoice {
+export class PrimaryLinkSelector {
   private readonly coverage = new Map<Link, Coverage>()
 
   constructor (private readonly dataCentre: string, private readonly regions = new Regions()) {}
 
   /** Notes from how many of its peers a control process hears. */
-  note (link: Link, peers: number, now: number): void {
+  recordPeers (link: Link, peers: number, now: number): void {
     this.coverage.set(link, { peers, toldAt: now })
   }
 
@@ -30,14 +30,14 @@
   }
 
   /** The link to one that is not known to be cut off from most of its peers; among those, one in this data centre, or in this region. */
-  choose (links: readonly Link[], controls: number, now: number): Link | undefined {
+  select (links: readonly Link[], controls: number, now: number): Link | undefined {
     const sound = links.filter((link) => !this.isCutOff(link, controls, now))
     const able = sound.length > 0 ? sound : links
-    return this.nearestFirst(able)[0]
+    return this.sortByDistance(able)[0]
   }
 
   /** Links in the order of their distance; those of equal distance as they were. */
-  nearestFirst (links: readonly Link[]): Link[] {
+  sortByDistance (links: readonly Link[]): Link[] {
     const rankOf = ({ peer }: Link) => DISTANCES.indexOf(this.regions.distance(this.dataCentre, peer.dataCentre))
     return [...links].sort((left, right) => rankOf(left) - rankOf(right))
   }
--- a/entry/gateway/src/quarantine.ts
+++ b/entry/gateway/src/quarantine.ts
@@ -1,26 +1,26 @@
 /** Keeps requests under which endpoints crash from being sent to further ones, and learns which these are. */
 import { heldRequestsIn, whyHeld } from '@gullwall/control.state'
 import { type EndpointState } from '@gullwall/routing.balancer'
-import { CrashReporter, CrashWatch, type BrokenRequest } from '@gullwall/endpoint.crashes'
-import { verdictOf, type AttemptEnd } from './answer-receiver.ts'
+import { CrashReporter, CrashDetector, type InterruptedRequest } from '@gullwall/endpoint.crashes'
+import { verdictOf, type AttemptOutcome } from './attempt-response-receiver.ts'
 import { type Call } from './call.ts'
 import { type GatewayServices } from './index.ts'
 
 /** When a caller is asked to come back with a request that is held, in ms: it is held for minutes, and each try costs both sides. */
-export const HELD_RETRY_MS = 60_000
+export const QUARANTINE_RETRY_MS = 60_000
 
 export class Quarantine {
   /** Requests that were refused since the start. */
-  refused = 0
-  private readonly watch: CrashWatch
+  refusedCount = 0
+  private readonly watch: CrashDetector
   private readonly reporter: CrashReporter
   private held: ReadonlySet<string> = new Set()
 
   constructor (private readonly services: Pick<GatewayServices, 'store' | 'view' | 'logger' | 'controlLinks'>) {
     const { store, view, logger, controlLinks } = services
-    this.reporter = new CrashReporter({ logger, tell: async (word) => await controlLinks.tellCrashes(word) })
-    this.watch = new CrashWatch({
-      stateOf: (incarnation) => view.leases.stateOf(incarnation),
+    this.reporter = new CrashReporter({ logger, sendReport: async (word) => await controlLinks.reportCrashes(word) })
+    this.watch = new CrashDetector({
+      getLeaseState: (incarnation) => view.leases.stateOf(incarnation),
       isReplaced: (incarnation) => view.leases.isReplaced(incarnation),
       onCrash: (endpoint, requests) => this.crashed(endpoint, requests)
     })
@@ -43,13 +43,13 @@
   }
 
   /** Crashes of endpoints with requests of this process, since the start. */
-  get crashes (): number {
-    return this.reporter.crashes
+  get crashCount (): number {
+    return this.reporter.crashCount
   }
 
   /** Why a request is sent to no endpoint; undefined if it may be. */
-  whyNot ({ fingerprint }: Pick<Call, 'fingerprint'>): string | undefined {
-    const alone = this.reporter.heldWithoutControl
+  findRefusalReason ({ fingerprint }: Pick<Call, 'fingerprint'>): string | undefined {
+    const alone = this.reporter.locallyQuarantined
     if (this.held.size + alone.size === 0) return undefined
     const known = whyHeld(this.services.store.records, fingerprint())
     if (known !== undefined) return known
@@ -57,24 +57,24 @@
   }
 
   /** Notes what the end of an attempt tells of crashes: that its endpoint may have crashed, has ended, or lives. */
-  noteEnd (endpoint: EndpointState, call: Call, end: AttemptEnd): void {
+  recordOutcome (endpoint: EndpointState, call: Call, end: AttemptOutcome): void {
     if (end.type === 'broken' && end.isClosed) this.noteBroken(endpoint, call)
-    if ((end.type === 'unsent' && end.isRefused === true) || verdictOf(end) === 'ended') this.watch.noteEnded(endpoint.description.incarnation)
-    if (end.type === 'answered' || end.type === 'failed') this.reporter.noteRanWell(call.fingerprint)
+    if ((end.type === 'unsent' && end.isRefused === true) || verdictOf(end) === 'ended') this.watch.recordProcessEnd(endpoint.description.incarnation)
+    if (end.type === 'answered' || end.type === 'failed') this.reporter.recordSuccess(call.fingerprint)
   }
 
   /** Notes that the connection to an endpoint ended by itself while a request was running there. */
-  private noteBroken ({ description: { incarnation, address }, heardAt }: EndpointState, { requestId, fingerprint }: Call): void {
-    const silentMs = Math.min(performance.now() - heardAt, this.services.view.leases.silentMs(incarnation))
-    this.watch.noteBroken({ incarnation, address, silentMs }, { requestId, fingerprint: fingerprint() })
+  private noteBroken ({ description: { incarnation, address }, lastReceivedAt }: EndpointState, { requestId, fingerprint }: Call): void {
+    const silentMs = Math.min(performance.now() - lastReceivedAt, this.services.view.leases.silentMs(incarnation))
+    this.watch.recordBrokenConnection({ incarnation, address, silentMs }, { requestId, fingerprint: fingerprint() })
   }
 
-  private crashed (endpoint: string, requests: BrokenRequest[]): void {
+  private crashed (endpoint: string, requests: InterruptedRequest[]): void {
     for (const { fingerprint, requestId } of requests) {
       const why = `${endpoint} crashed while it was running there, with ${requests.length - 1} others of this box`
       this.services.logger.info({ channel: 'quarantine', event: 'crashed', fingerprint, endpoint, request: requestId, why })
     }
-    this.reporter.note({ endpoint, requests: [...new Set(requests.map(({ fingerprint }) => fingerprint))] })
+    this.reporter.recordCrash({ endpoint, requests: [...new Set(requests.map(({ fingerprint }) => fingerprint))] })
   }
 
   private recordsChanged (): void {
--- a/entry/gateway/src/forward.ts
+++ b/entry/gateway/src/request-forwarder.ts
@@ -1,22 +1,23 @@
 /** Carries one request: chooses endpoints, sends attempts one after the other, and ends the caller's answer. */
-import { strainOf, type Candidate, type SentPrompt, type Work } from '@gullwall/routing.balancer'
-import { type CallerAnswer, type ErrorAnswer } from './answer.ts'
-import { AnswerReceiver, hasRun, verdictOf, type AttemptEnd } from './answer-receiver.ts'
+import { pauseSensitivityOf, type Candidate, type SentPrompt, type InFlightRequest } from '@gullwall/routing.balancer'
+import { type CallerResponse, type ErrorResponse } from './caller-response.ts'
+import { AttemptResponseReceiver, hasRun, verdictOf, type AttemptOutcome } from './attempt-response-receiver.ts'
 import { AttemptHistory } from './attempt-history.ts'
-import { admit, nextStep, silenceOf, WATCH_MS, type NextStep, type RequestState } from './attempt-policy.ts'
+import { admit, decideNextStep, findStallReason, WATCH_INTERVAL_MS, type NextStep, type RequestState } from './attempt-policy.ts'
 import { remainingMs, type Call } from './call.ts'
 import { originOf } from './connections.ts'
-import { connectionsSeen } from './connections-seen.ts'
+import { yieldToIo } from './yield-to-io.ts'
 import {
-  chooseEndpoint, hasAlternative, isSensitive, outputTokensOf, restMsOfAll, whyNever, whyNone, type EndpointChoiceOptions
+  chooseEndpoint, hasAlternative, isPauseSensitive, estimateOutputTokens, findAvailabilityDelayMs, findPermanentRefusalReason,
+  findNoEndpointReason, type EndpointChoiceOptions
 } from './endpoint-choice.ts'
-import { whyNotPlace } from './eligibility.ts'
+import { findDataCentreRefusalReason } from './eligibility.ts'
 import { Exchange } from './exchange.ts'
 import { type GatewayServices } from './index.ts'
-import { returnAfterMs, waitRank, waitsUntil } from './patience.ts'
-import { HELD_RETRY_MS } from './quarantine.ts'
+import { chooseRetryAfterMs, waitRank, findWaitDeadline } from './endpoint-wait.ts'
+import { QUARANTINE_RETRY_MS } from './quarantine.ts'
 import { RequestRecorder } from './request-recorder.ts'
-import { takeLeave, whyNoLeave, type SendingLeave } from './sending-leave.ts'
+import { acquireSendPermit, findSendRefusalReason, type SendPermit } from './send-permit.ts'
 
 /** An address that takes no connection for so long is left, in ms: many round trips between data centres of one region. */
 const CONNECT_MS = 350
@@ -30,10 +31,10 @@
 /** One attempt that is about to be sent. */
 interface Attempt {
   candidate: Candidate
-  leave: SendingLeave
+  leave: SendPermit
 }
 
-export class Forwarding {
+export class RequestForwarder {
   private readonly history: AttemptHistory
   private readonly recorder: RequestRecorder
   private lastEventId: string | undefined
@@ -45,7 +46,7 @@
   private hasBegunToRun = false
   private deadlineTimer: NodeJS.Timeout | undefined
 
-  constructor (private readonly services: GatewayServices, private readonly call: Call, private readonly answer: CallerAnswer) {
+  constructor (private readonly services: GatewayServices, private readonly call: Call, private readonly answer: CallerResponse) {
     this.history = new AttemptHistory(call)
     this.recorder = new RequestRecorder(services, call, this.history)
     this.lastEventId = call.lastEventId
@@ -53,11 +54,11 @@
 
   async run (): Promise<void> {
     const { call } = this
-    this.services.budget.noteRequest()
-    this.services.outputs.note(call.route.name, call.output ?? {})
-    this.services.view.reserved.noteRequest({ route: call.route.name }, call.prompt.at(-1)?.tokens ?? 0)
-    await connectionsSeen()
-    this.answer.onLeft(() => this.callerLeft())
+    this.services.budget.recordRequest()
+    this.services.outputEstimate.record(call.route.name, call.output ?? {})
+    this.services.view.reserved.recordRequest({ route: call.route.name }, call.prompt.at(-1)?.tokens ?? 0)
+    await yieldToIo()
+    this.answer.onDisconnected(() => this.callerLeft())
     this.deadlineTimer = setTimeout(() => this.deadlinePassed(), call.deadline - performance.now())
     try {
       await this.attempts()
@@ -67,7 +68,7 @@
   }
 
   private async attempts (): Promise<void> {
-    const never = whyNever(this.services, this.call)
+    const never = findPermanentRefusalReason(this.services, this.call)
     if (never !== undefined) this.refuse(never)
     while (!this.isOver) {
       if (this.isHeld()) return
@@ -78,38 +79,40 @@
       const candidate = await this.nextCandidate()
       if (this.isOver || this.isHeld()) return
       if (candidate === undefined) {
-        this.refuse(whyNone(this.choiceOptions))
+        this.refuse(findNoEndpointReason(this.choiceOptions))
         return
       }
       const admission = admit(this.state, candidate)
       if (admission.type === 'refuse') {
-        this.refuse(admission.why, admission.afterMs)
+        this.refuse(admission.reason, admission.retryAfterMs)
         return
       }
       const { limits } = this.services
-      if (limits.mustAsk(candidate.endpoint)) await limits.askFor(candidate.endpoint)
+      if (limits.needsGrant(candidate.endpoint)) await limits.requestGrant(candidate.endpoint)
       if (this.isOver) return
-      const leave = takeLeave(this.services, candidate.endpoint)
+      const leave = acquireSendPermit(this.services, candidate.endpoint)
       if (leave === undefined) continue
       const end = await this.attempt({ candidate, leave })
       if (this.isOver) return
-      this.follow(nextStep(this.state, candidate.endpoint.description.incarnation, end))
+      this.follow(decideNextStep(this.state, candidate.endpoint.description.incarnation, end))
     }
   }
 
   /** Refuses a request under which endpoints crash. */
   private isHeld (): boolean {
-    const why = this.services.quarantine.whyNot(this.call)
+    const why = this.services.quarantine.findRefusalReason(this.call)
     if (why === undefined) return false
-    this.services.quarantine.refused += 1
-    this.recorder.tellFingerprint()
-    this.refuse(why, HELD_RETRY_MS)
+    this.services.quarantine.refusedCount += 1
+    this.recorder.includeFingerprint()
+    this.refuse(why, QUARANTINE_RETRY_MS)
     return true
   }
 
   private get state (): RequestState {
     const { call, history, services } = this
-    return { call, history, budget: services.budget, patienceMs: services.view.table?.longestTargetMs(call.route) ?? call.route.targetMs }
+    return {
+      call, history, budget: services.budget, acceptableWaitMs: services.view.table?.longestTargetMs(call.route) ?? call.route.targetMs
+    }
   }
 
   private get choiceOptions (): EndpointChoiceOptions {
@@ -126,12 +129,14 @@
       const candidate = chooseEndpoint(this.choiceOptions)
       if (candidate !== undefined || this.isOver) return candidate
       const now = performance.now()
-      const waits = waitsUntil({ call, resumedAt, restMs: restMsOfAll(services, call, history.excluded), now })
+      const waits = findWaitDeadline(
+        { call, resumedAt, availabilityDelayMs: findAvailabilityDelayMs(services, call, history.excluded), now }
+      )
       // The wait for the end of a rest goes on through the slow start after it.
       this.waitsUntil = resumedAt === undefined ? waits : Math.max(this.waitsUntil, waits)
       const left = this.waitsUntil - now
       if (left <= 0) return undefined
-      await services.view.changeWithin(left, waitRank(call))
+      await services.view.waitForChange(left, waitRank(call))
     }
   }
 
@@ -142,63 +147,66 @@
     return usable.some(({ description }) => !history.excluded.has(description.incarnation))
   }
 
-  private async attempt ({ candidate, leave }: Attempt): Promise<AttemptEnd> {
+  private async attempt ({ candidate, leave }: Attempt): Promise<AttemptOutcome> {
     const { call, services } = this
     const { endpoint, unreadTokens, urgency } = candidate
     this.resumedAt = undefined
     this.waitsUntil = -Infinity
-    services.workExchange.noteSending(endpoint, call.prompt)
+    services.loadExchange.recordSending(endpoint, call.prompt)
     const sent: SentPrompt = {
       prompt: call.prompt,
       unreadTokens,
       urgency,
-      strain: strainOf(call.route.pauseMs, endpoint.reading.pauseMs),
-      isSensitive: isSensitive(services, call, endpoint.description.service),
-      outputTokens: outputTokensOf(services, call)
+      pauseSensitivity: pauseSensitivityOf(call.route.pauseMs, endpoint.prefill.pauseMs),
+      isPauseSensitive: isPauseSensitive(services, call, endpoint.description.service),
+      outputTokens: estimateOutputTokens(services, call)
     }
     const work = endpoint.begin(sent, performance.now())
-    services.workExchange.noteSent(unreadTokens)
-    this.recorder.dispatched(candidate)
-    const noteCrossing = services.crossings.begin(call, endpoint)
-    const receiver = new AnswerReceiver(this, work, candidate, leave.permit)
+    services.loadExchange.recordSent(unreadTokens)
+    this.recorder.recordDispatch(candidate)
+    const noteCrossing = services.crossRegionTraffic.beginRequest(call, endpoint)
+    const receiver = new AttemptResponseReceiver(this, work, candidate, leave.backoffPermit)
     const exchange = this.send(candidate, receiver, leave)
     this.exchange = exchange
-    const watch = setInterval(() => this.watch(candidate, work), WATCH_MS)
-    const end = receiver.endOf(await exchange.ended)
+    const watch = setInterval(() => this.watch(candidate, work), WATCH_INTERVAL_MS)
+    const end = receiver.finish(await exchange.outcome)
     clearInterval(watch)
-    leave.permit.released()
+    leave.backoffPermit.release()
     noteCrossing(receiver.receivedBytes)
     const verdict = verdictOf(end)
     if (call.route.kind !== 'stream' && hasRun(end)) this.noteBegun(work.startedAt)
     endpoint.end(work, verdict, performance.now())
-    if (verdict === 'unreachable' || verdict === 'ended') services.workExchange.noteUnreachable()
+    if (verdict === 'unreachable' || verdict === 'ended') services.loadExchange.recordUnreachable()
     services.view.wake()
-    if (end.type === 'broken') this.recorder.tellFingerprint()
-    services.quarantine.noteEnd(endpoint, call, end)
+    if (end.type === 'broken') this.recorder.includeFingerprint()
+    services.quarantine.recordOutcome(endpoint, call, end)
     return end
   }
 
-  private send (candidate: Candidate, receiver: AnswerReceiver, leave: SendingLeave): Exchange {
+  private send (candidate: Candidate, receiver: AttemptResponseReceiver, leave: SendPermit): Exchange {
     const { call, services } = this
     const { description } = candidate.endpoint
     const service = services.view.table?.service(description.service)
-    const dispatcher = services.connections.to(description, service?.maxConnections ?? DEFAULT_CONNECTIONS, services.view.entries)
+    const dispatcher = services.connections.dispatcherFor(
+      description, service?.maxConnections ?? DEFAULT_CONNECTIONS, services.view.entryCount
+    )
     return new Exchange(dispatcher, originOf(description.address), {
       method: call.method,
       path: call.path,
       headers: this.headersFor(candidate),
       body: call.body,
       connectMs: CONNECT_MS,
-      whyNot: () => this.whyNotNow(candidate, leave),
-      wasClosedWell: async () => await services.connections.wasClosedWell()
+      findRefusalReason: () => this.whyNotNow(candidate, leave),
+      wasClosedCleanly: async () => await services.connections.wasClosedCleanly()
     }, receiver)
   }
 
   /** Why a request is not sent after all, once a connection is free. */
-  private whyNotNow ({ endpoint }: Candidate, leave: SendingLeave): string | undefined {
+  private whyNotNow ({ endpoint }: Candidate, leave: SendPermit): string | undefined {
     const { services, call } = this
-    return whyNotPlace(services.eligibility, endpoint.description.dataCentre, call) ??
-      services.quarantine.whyNot(call) ?? services.notices.whyNotNow(endpoint) ?? whyNoLeave(services, endpoint, leave)
+    return findDataCentreRefusalReason(services.eligibility, endpoint.description.dataCentre, call) ??
+      services.quarantine.findRefusalReason(call) ??
+      services.notices.findRefusalReason(endpoint) ?? findSendRefusalReason(services, endpoint, leave)
   }
 
   private headersFor ({ endpoint, source, urgency }: Candidate): string[] {
@@ -220,18 +228,18 @@
         this.isOver = true
         break
       case 'again':
-        this.recorder.decided(this.isResumed ? 'resume' : 'retry', `${step.why}; budget left ${step.budgetLeft.toFixed(1)}`)
+        this.recorder.recordDecision(this.isResumed ? 'resume' : 'retry', `${step.reason}; budget left ${step.budgetLeft.toFixed(1)}`)
         break
       case 'refuse':
-        this.refuse(step.why)
+        this.refuse(step.reason)
         break
       case 'pass-failure':
         this.isOver = true
-        this.recorder.ended('fail', `failed-${step.head.status}`, `the endpoint answered ${step.head.status}: ${step.why}`)
-        this.answer.whole(step.head.status, step.head.headers, step.body)
+        this.recorder.recordEnd('fail', `failed-${step.head.status}`, `the endpoint answered ${step.head.status}: ${step.reason}`)
+        this.answer.sendComplete(step.head.status, step.head.headers, step.body)
         break
       case 'fail':
-        this.fail(502, step.code, step.why)
+        this.fail(502, step.code, step.reason)
         break
     }
   }
@@ -241,7 +249,7 @@
     return this.lastEventId !== this.call.lastEventId
   }
 
-  private watch (candidate: Candidate, work: Work): void {
+  private watch (candidate: Candidate, work: InFlightRequest): void {
     const { exchange, recorder } = this
     if (this.isOver || exchange === undefined) return
     // A box that was suspended finds its timers late.
@@ -252,26 +260,26 @@
     const running = {
       ...this.state,
       candidate,
-      work,
+      inFlightRequest: work,
       lastProgressAt: recorder.latestEventAt,
       hasAlternative: () => hasAlternative(this.choiceOptions, candidate.endpoint)
     }
-    const why = silenceOf(running, performance.now())
+    const why = findStallReason(running, performance.now())
     if (why === undefined) return
-    recorder.decided('stop', why)
-    exchange.giveUp(why)
+    recorder.recordDecision('stop', why)
+    exchange.abandon(why)
   }
 
   /** Lets the endpoint wait while the caller reads too slowly. */
-  holdUntilDrained (): void {
+  pauseUntilDrained (): void {
     const { exchange } = this
     exchange?.pause()
     this.answer.onceDrained(() => exchange?.resume())
   }
 
   /** Notes whole events that were passed on. */
-  noteEvents (lastId: string | undefined): void {
-    this.recorder.passedEvents()
+  recordEvents (lastId: string | undefined): void {
+    this.recorder.recordEvents()
     this.noteBegun(this.recorder.latestEventAt)
     if (lastId !== undefined) this.lastEventId = lastId
   }
@@ -281,16 +289,16 @@
     const { organisation } = this.call
     if (this.hasBegunToRun || organisation === undefined) return
     this.hasBegunToRun = true
-    this.services.usage.noteBegun(organisation.name, at)
+    this.services.usageTracker.recordBegun(organisation.name, at)
   }
 
   /** Notes that the caller's answer is whole. */
-  noteAnswered (): void {
+  recordAnswered (): void {
     this.isOver = true
-    this.recorder.answered()
+    this.recorder.recordAnswered()
   }
 
-  get facts (): { call: Call, answer: CallerAnswer, services: GatewayServices } {
+  get context (): { call: Call, answer: CallerResponse, services: GatewayServices } {
     return { call: this.call, answer: this.answer, services: this.services }
   }
 
@@ -298,7 +306,7 @@
     if (this.isOver) return
     this.isOver = true
     this.exchange?.cancel()
-    this.recorder.ended('cancel', 'left', 'the caller left')
+    this.recorder.recordEnd('cancel', 'left', 'the caller left')
   }
 
   private deadlinePassed (): void {
@@ -311,8 +319,8 @@
 
   /** Refuses a request that has not run; says so where it is certain. */
   private refuse (why: string, afterMs = 0): void {
-    const restMs = restMsOfAll(this.services, this.call)
-    const returnMs = restMs > 0 ? returnAfterMs(restMs, this.call.tier) : RETRY_AFTER_MS
+    const restMs = findAvailabilityDelayMs(this.services, this.call)
+    const returnMs = restMs > 0 ? chooseRetryAfterMs(restMs, this.call.tier) : RETRY_AFTER_MS
     const retryAfterMs = Math.round(Math.max(returnMs, afterMs))
     if (this.history.mayHaveRun) this.fail(502, 'ERR_GULLWALL_BROKEN', why)
     else this.end({ status: 503, code: 'ERR_GULLWALL_REFUSED', message: why, ran: 'no', retryAfterMs }, 'refuse')
@@ -322,10 +330,10 @@
     this.end({ status, code, message: why, ran: this.answer.hasBegun ? 'partly' : 'unknown' }, 'fail')
   }
 
-  private end (answer: ErrorAnswer, decision: 'refuse' | 'fail'): void {
+  private end (answer: ErrorResponse, decision: 'refuse' | 'fail'): void {
     this.isOver = true
     const outcome = decision === 'refuse' ? 'refused' : `error-${answer.status}`
-    this.recorder.ended(decision, outcome, `${answer.status} ${answer.code}: ${answer.message}`)
-    this.answer.error(answer)
+    this.recorder.recordEnd(decision, outcome, `${answer.status} ${answer.code}: ${answer.message}`)
+    this.answer.sendError(answer)
   }
 }
--- a/entry/gateway/src/request-recorder.ts
+++ b/entry/gateway/src/request-recorder.ts
@@ -19,20 +19,20 @@
   constructor (private readonly services: GatewayServices, private readonly call: Call, private readonly history: AttemptHistory) {}
 
   /** Notes that an attempt is about to be sent. */
-  dispatched (candidate: Candidate): void {
+  recordDispatch (candidate: Candidate): void {
     const { call, history, services } = this
     this.latest = candidate
-    const record = { ...this.record('dispatch'), why: whyOf(candidate) + services.coldEngines.noteOf(call) + services.limits.noteOf(call) }
+    const record = { ...this.record('dispatch'), why: whyOf(candidate) + services.coldEndpoints.describeExcluded(call) + services.limits.describeExcluded(call) }
     if (history.isFirst) {
       services.metrics.queued.observe({ route: call.route.name }, this.elapsedMs / 1000)
-      services.logger.sampled(candidate.leaving === undefined ? 'dispatch' : 'leave', record)
+      services.logger.sampled(candidate.crossRegion === undefined ? 'dispatch' : 'leave', record)
     } else {
       services.logger.info(record)
     }
   }
 
   /** Notes whole events that were passed on. */
-  passedEvents (): void {
+  recordEvents (): void {
     const now = performance.now()
     if (this.firstEventAt === undefined) {
       this.firstEventAt = now
@@ -44,17 +44,17 @@
   }
 
   /** Notes that the latest attempt broke off, or that the request is held; from now on lines tell which request it is. */
-  tellFingerprint (): void {
+  includeFingerprint (): void {
     this.fingerprint = this.call.fingerprint()
   }
 
   /** Notes what was decided between two attempts. */
-  decided (decision: 'retry' | 'resume' | 'stop', why: string): void {
+  recordDecision (decision: 'retry' | 'resume' | 'stop', why: string): void {
     this.services.logger.info({ ...this.record(decision), why })
   }
 
   /** Notes that the caller has its answer. Answers in time are sampled; each late one has its line. */
-  answered (): void {
+  recordAnswered (): void {
     this.count('answered')
     const lateness = this.lateness()
     const record: ForwardRecord = { ...this.record('finish'), ...this.timing(), why: lateness ?? 'answered' }
@@ -63,10 +63,12 @@
   }
 
   /** Notes an end without a whole answer. */
-  ended (decision: 'refuse' | 'fail' | 'cancel', outcome: string, why: string): void {
+  recordEnd (decision: 'refuse' | 'fail' | 'cancel', outcome: string, why: string): void {
     this.count(outcome)
-    const { logger, coldEngines, limits } = this.services
-    logger.info({ ...this.record(decision), ...this.timing(), why: why + coldEngines.noteOf(this.call) + limits.noteOf(this.call) })
+    const { logger, coldEndpoints, limits } = this.services
+    logger.info({
+      ...this.record(decision), ...this.timing(), why: why + coldEndpoints.describeExcluded(this.call) + limits.describeExcluded(this.call)
+    })
   }
 
   private count (outcome: string): void {
@@ -108,7 +110,7 @@
       route: call.route.name,
       organisation: call.organisation?.name ?? '',
       tier: call.tier,
-      attempt: history.attempt,
+      attempt: history.attemptNumber,
       documentVersion: call.documentVersion,
       documentAgeMs: services.view.documentAgeMs,
       elapsedMs: Math.round(this.elapsedMs),
@@ -134,9 +136,9 @@
 }
 
 /** Why an endpoint was chosen. */
-function whyOf ({ isHome, leaving }: Candidate): string {
-  if (leaving === undefined) return isHome ? 'home of its prompt' : 'least cost'
-  const { region, costMs, stayCost } = leaving
-  const stay = stayCost === undefined ? 'no endpoint there takes it' : `staying costs ${Math.round(stayCost)}`
+function whyOf ({ isAffinityEndpoint, crossRegion }: Candidate): string {
+  if (crossRegion === undefined) return isAffinityEndpoint ? 'home of its prompt' : 'least cost'
+  const { region, costMs, localCost } = crossRegion
+  const stay = localCost === undefined ? 'no endpoint there takes it' : `staying costs ${Math.round(localCost)}`
   return `leaves its region for ${region}: ${stay}, the way ${Math.round(costMs)} of the cost`
 }
--- a/entry/gateway/src/start-up.ts
+++ b/entry/gateway/src/start-up.ts
@@ -10,7 +10,7 @@
 export const MAX_HOLD_MS = 500
 
 /** Until when a request that has arrived is held for a process that is not ready, both by the monotonic clock. */
-export function heldUntil (arrivedAt: number, startedAt: number): number {
+export function holdDeadline (arrivedAt: number, startedAt: number): number {
   return Math.min(arrivedAt + MAX_HOLD_MS, startedAt + START_UP_MS)
 }
 
--- a/entry/gateway/src/usage-teller.ts
+++ b/entry/gateway/src/usage-tracker.ts
@@ -6,7 +6,7 @@
 /** How often new counts are told at most, in ms: what is lost with a process is what it counted since. */
 const TELL_MS = 100
 
-export class UsageTeller {
+export class UsageTracker {
   private readonly counter = new UsageCounter()
   private readonly clock = new SteadyWallClock()
   private timer: NodeJS.Timeout | undefined
@@ -26,13 +26,13 @@
   }
 
   /** Notes that a request began to run, at a moment of the monotonic clock. */
-  noteBegun (organisation: string, at: number): void {
+  recordBegun (organisation: string, at: number): void {
     const { usageWindowMs } = this.services.settings
     if (usageWindowMs !== undefined) this.counter.note(windowAt(this.clock.at(at), usageWindowMs), organisation)
   }
 
   private tell (): void {
-    const link = this.services.controlLinks.listened
+    const link = this.services.controlLinks.primaryLink
     if (link === undefined) return
     const windows = link === this.toldTo ? this.counter.takeUntold() : this.counter.takeAll()
     this.toldTo = link
--- a/entry/gateway/src/warmth.ts
+++ b/entry/gateway/src/warm-up-state.ts
@@ -1,5 +1,5 @@
 /** Whether one endpoint is cold, as far as this box knows: by its word, or by what is assumed until its next word. */
-import { type HeldLease } from '@gullwall/control.registry'
+import { type KnownLease } from '@gullwall/control.registry'
 
 /** How much later than by the endpoint's own word it is taken to be warm, as a share: clocks differ by 0.02 each. */
 const CLOCK_MARGIN = 0.05
@@ -17,7 +17,7 @@
   why: string
 }
 
-export class Warmth {
+export class WarmUpState {
   isCold = false
   /** Until when it is cold, as it was known at the latest look. */
   coldUntil = -Infinity
@@ -27,16 +27,16 @@
   private assumption: Assumption | undefined
 
   /** Takes it to be cold for some time, unless a heartbeat that is begun later says otherwise. */
-  assume (assumption: Assumption): void {
+  assumeCold (assumption: Assumption): void {
     this.assumption = assumption
   }
 
   /** Looks at the latest word; true where it has turned. */
-  look (lease: HeldLease, now: number): boolean {
+  update (lease: KnownLease, now: number): boolean {
     const wasCold = this.isCold
     const sureAt = (this.assumption?.since ?? Infinity) + HEARTBEAT_FLIGHT_MS
-    if (lease.coldMs !== undefined && lease.heardAt > sureAt) this.assumption = undefined
-    const told = lease.coldMs === undefined ? -Infinity : lease.heardAt + (1 + CLOCK_MARGIN) * lease.coldMs
+    if (lease.coldMs !== undefined && lease.receivedAt > sureAt) this.assumption = undefined
+    const told = lease.coldMs === undefined ? -Infinity : lease.receivedAt + (1 + CLOCK_MARGIN) * lease.coldMs
     const assumed = this.assumption?.until ?? -Infinity
     this.coldUntil = Math.max(told, assumed)
     this.isCold = now < this.coldUntil
@@ -56,6 +56,6 @@
   return openedAt === undefined ? 1 : Math.min(1, RAMP_START + (1 - RAMP_START) * (now - openedAt) / RAMP_MS)
 }
 
-function whatItSaid ({ heardAt, coldMs }: HeldLease, now: number): string {
-  return `it said ${Math.round(now - heardAt)} ms ago: for ${coldMs ?? 0} ms`
+function whatItSaid ({ receivedAt, coldMs }: KnownLease, now: number): string {
+  return `it said ${Math.round(now - receivedAt)} ms ago: for ${coldMs ?? 0} ms`
 }
