--- a/entry/gateway/test/limit-named.test.ts
+++ b/entry/gateway/test/advertised-limit.test.ts
@@ -9,7 +9,7 @@
 import { request } from 'undici'
 import { type GatewayServices } from '@gullwall/entry.gateway'
 import { type Kernel } from '@gullwall/core.kernel'
-import { answerWell, GatewayDeployment, StandIn, type Behaviour } from './stand-in.ts'
+import { answerOk, GatewayDeployment, StubEndpoint, type Behaviour } from './gateway-deployment.ts'
 
 const GATEWAYS = 5
 const PER_SECOND = 1
@@ -22,7 +22,7 @@
 const SPACING_MS = 66
 const RUNS_MS = 50
 
-const engines = ['i-a', 'i-b', 'i-c'].map((incarnation) => new StandIn(incarnation, 'app'))
+const engines = ['i-a', 'i-b', 'i-c'].map((incarnation) => new StubEndpoint(incarnation, 'app'))
 const deployment = new GatewayDeployment(engines)
 const others: Array<Kernel<GatewayServices>> = []
 let ids = 0
@@ -30,7 +30,7 @@
 const answers: Behaviour = (incoming, response, body) => {
   setTimeout(() => {
     if (!(incoming.url ?? '').startsWith('/draft/')) {
-      answerWell(incoming, response, body)
+      answerOk(incoming, response, body)
       return
     }
     response.writeHead(200, { 'content-type': 'text/event-stream', 'x-gullwall-request-id': String(incoming.headers['x-gullwall-request-id']) })
@@ -80,7 +80,7 @@
 
 describe('an endpoint that names a limit of requests a second in its answers', () => {
   it('gets no more than that from all gateways together, and is used up to it', async () => {
-    const [limited] = engines as [StandIn]
+    const [limited] = engines as [StubEndpoint]
     await sendFor(500)
     const arrivals: number[] = []
     limited.behaviour = (incoming, response, body) => {
--- a/entry/gateway/test/allowed-regions.fuzz.test.ts
+++ b/entry/gateway/test/allowed-regions.fuzz.test.ts
@@ -3,13 +3,13 @@
 import fc from 'fast-check'
 import { checkShape, RouteTable, type RoutingDocument } from '@gullwall/config.document'
 import { Regions } from '@gullwall/config.settings'
-import { DEFAULT_WEIGHTS, EndpointIndex, EndpointState, OutputEstimate, ReservedEngines } from '@gullwall/routing.balancer'
-import { allowedRegions, regionLimitsOf } from '../src/allowed-regions.ts'
+import { DEFAULT_WEIGHTS, EndpointIndex, EndpointState, OutputLengthEstimator, ReservedEngines } from '@gullwall/routing.balancer'
+import { createAllowedRegionsRule, regionLimitsOf } from '../src/allowed-regions.ts'
 import { AttemptHistory } from '../src/attempt-history.ts'
 import { type Call } from '../src/call.ts'
-import { chooseEndpoint, hasAlternative, whyNone } from '../src/endpoint-choice.ts'
+import { chooseEndpoint, hasAlternative, findNoEndpointReason } from '../src/endpoint-choice.ts'
 import { type GatewayServices } from '../src/index.ts'
-import { RegionCrossings } from '../src/region-crossings.ts'
+import { CrossRegionTraffic } from '../src/cross-region-traffic.ts'
 
 const RUNS = Number(process.env['FUZZ_RUNS'] ?? 500)
 const SEED = Number(process.env['FUZZ_SEED'] ?? 11)
@@ -95,15 +95,15 @@
     arrivedAt: 0,
     deadline: Infinity,
     documentVersion: document.version,
-    sleptMs: 0,
+    suspendedMs: 0,
     fingerprint: () => ''
   }
 }
 
 function endpointOf ({ dataCentre, running, keeps }: Server, index: number): EndpointState {
   const endpoint = new EndpointState({ incarnation: `i-${index}`, service: 'lm', address: `127.0.0.1:${9000 + index}`, dataCentre, slots: SLOTS })
-  endpoint.others = { unread: [], running, strain: 0, sensitive: 0, unreachable: 0 }
-  if (keeps) endpoint.prefixes.note(PROMPT.slice(0, 1), -Infinity)
+  endpoint.othersLoad = { unread: [], running, strain: 0, sensitive: 0, unreachable: 0 }
+  if (keeps) endpoint.prefixCache.record(PROMPT.slice(0, 1), -Infinity)
   return endpoint
 }
 
@@ -117,17 +117,17 @@
     const pool = (service: string) => index.pool(service)
     const view = { table, usable: () => endpoints, pool, index, reserved: new ReservedEngines() }
     const settings = { dataCentre: 'dc0', regions }
-    const crossings = new RegionCrossings({ settings, view: { entries: 1 }, metrics: {} as never })
+    const crossings = new CrossRegionTraffic({ settings, view: { entryCount: 1 }, metrics: {} as never })
     const services = {
-      crossings,
+      crossRegionTraffic: crossings,
       view,
       settings,
       weights: DEFAULT_WEIGHTS,
       startedAt: 0,
-      eligibility: { places: [allowedRegions({ settings, view })], endpoints: [] },
-      outputs: new OutputEstimate(),
-      coldEngines: { preferred: (endpoints: readonly EndpointState[]) => endpoints },
-      limits: { mustAsk: () => false }
+      eligibility: { dataCentres: [createAllowedRegionsRule({ settings, view })], endpoints: [] },
+      outputEstimate: new OutputLengthEstimator(),
+      coldEndpoints: { selectPreferred: (endpoints: readonly EndpointState[]) => endpoints },
+      limits: { needsGrant: () => false }
     } as unknown as GatewayServices
     const call = callUnder(documentOf(1, arrivedUnder, isPublic), tier)
     const history = new AttemptHistory(call)
@@ -146,11 +146,11 @@
         const { dataCentre } = candidate.source.description
         if (known.names.size > 1) expect(known.distance(dataCentre, candidate.endpoint.description.dataCentre)).not.toBe('other region')
       }
-      history.noteUnsent(candidate.endpoint.description.incarnation)
+      history.recordUnsent(candidate.endpoint.description.incarnation)
       expect(hasAlternative(options, candidate.endpoint)).toBe(remaining().length > 0)
     }
     // Engines with free slots are all tried; the others take urgent requests only.
     for (const { running } of remaining()) expect(running).toBeGreaterThan(0.9 * SLOTS)
-    if (endpoints.length > 0 && !endpoints.some(isAllowed)) expect(whyNone(options)).toContain('no endpoint may have it')
+    if (endpoints.length > 0 && !endpoints.some(isAllowed)) expect(findNoEndpointReason(options)).toContain('no endpoint may have it')
   }), { numRuns: RUNS, seed: SEED })
 })
--- a/entry/gateway/test/allowed-regions.test.ts
+++ b/entry/gateway/test/allowed-regions.test.ts
@@ -1,10 +1,10 @@
 import { afterAll, beforeAll, beforeEach, describe, expect, it } from 'vitest'
 import { request } from 'undici'
-import { documentOf, answerWell, GatewayDeployment, StandIn, type Behaviour, type RegionLists } from './stand-in.ts'
+import { createDocument, answerOk, GatewayDeployment, StubEndpoint, type Behaviour, type RegionLists } from './gateway-deployment.ts'
 
-const north = new StandIn('i-north', 'app', answerWell, 'dc1')
-const south = new StandIn('i-south', 'app', answerWell, 'dc2')
-const unnamed = new StandIn('i-unnamed', 'app', answerWell, 'dc9')
+const north = new StubEndpoint('i-north', 'app', answerOk, 'dc1')
+const south = new StubEndpoint('i-south', 'app', answerOk, 'dc2')
+const unnamed = new StubEndpoint('i-unnamed', 'app', answerOk, 'dc9')
 const all = [north, south, unnamed]
 const deployment = new GatewayDeployment(all)
 let ids = 0
@@ -17,7 +17,7 @@
 }
 
 function whereRan (id: string): string[] {
-  return all.filter(({ arrived }) => arrived.includes(id)).map(({ incarnation }) => incarnation)
+  return all.filter(({ requestIds }) => requestIds.includes(id)).map(({ incarnation }) => incarnation)
 }
 
 async function limit (limits: RegionLists): Promise<void> {
@@ -32,7 +32,7 @@
   for (const standIn of all) await deployment.register(standIn)
 })
 afterAll(async () => await deployment.stop())
-beforeEach(() => { for (const standIn of all) standIn.behaviour = answerWell })
+beforeEach(() => { for (const standIn of all) standIn.behaviour = answerOk })
 
 describe('a request whose regions are limited', () => {
   it.each<[string, RegionLists]>([
@@ -79,8 +79,8 @@
 
 it('a document that names an unknown region is refused with its name', async () => {
   const documents = deployment.control.get('documents')
-  const refused = await documents.put(JSON.stringify(documentOf(1000, { routes: ['south', 'atlantis'] })))
+  const refused = await documents.put(JSON.stringify(createDocument(1000, { routes: ['south', 'atlantis'] })))
   expect(JSON.stringify(refused.swap().orDefault([]))).toMatch(/routes.look-up.allowedRegions.*atlantis.*north, south, west/)
-  const organisations = await documents.put(JSON.stringify(documentOf(1000, { organisation: ['mu'] })))
+  const organisations = await documents.put(JSON.stringify(createDocument(1000, { organisation: ['mu'] })))
   expect(organisations.swap().orDefault([])).toMatchObject([{ keyPath: 'organisations.workshop.allowedRegions', found: 'the unknown region mu' }])
 })
--- a/entry/gateway/test/attempt-policy.test.ts
+++ b/entry/gateway/test/attempt-policy.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest'
-import { EndpointState, RetryBudget, type Candidate, type Work } from '@gullwall/routing.balancer'
-import { type AttemptEnd } from '../src/answer-receiver.ts'
+import { EndpointState, RetryBudget, type Candidate, type InFlightRequest } from '@gullwall/routing.balancer'
+import { type AttemptOutcome } from '../src/attempt-response-receiver.ts'
 import { AttemptHistory } from '../src/attempt-history.ts'
-import { admit, nextStep, silenceOf, type RequestState } from '../src/attempt-policy.ts'
+import { admit, decideNextStep, findStallReason, type RequestState } from '../src/attempt-policy.ts'
 import { type Call } from '../src/call.ts'
 
 const TARGET_MS = 600
@@ -47,11 +47,11 @@
     arrivedAt: 0,
     deadline: 6000,
     documentVersion: 1,
-    sleptMs: 0,
+    suspendedMs: 0,
     fingerprint: () => ''
   }
-  const budget = new RetryBudget({ ratio: 0, windowMs: 10_000, slack, entries: () => 1 })
-  return { call, history: new AttemptHistory(call), budget, patienceMs: TARGET_MS }
+  const budget = new RetryBudget({ ratio: 0, windowMs: 10_000, slack, entryCount: () => 1 })
+  return { call, history: new AttemptHistory(call), budget, acceptableWaitMs: TARGET_MS }
 }
 
 const endpoint = new EndpointState({ incarnation: 'i-1', service: 's', address: '127.0.0.1:1', dataCentre: 'east', slots: 4 })
@@ -63,21 +63,21 @@
   copiedTokens: 0,
   source: undefined,
   waitMs: 0,
-  isHome: true
+  isAffinityEndpoint: true
 }
-const broken: AttemptEnd = { type: 'broken', why: 'reset', isClosed: true }
-const failed: AttemptEnd = { type: 'failed', head: { status: 500, headers: {}, sentAt: 0 }, body: Buffer.alloc(0) }
-const notRun: AttemptEnd = { type: 'not-run', why: 'full', verdict: 'shed' }
-const unsent: AttemptEnd = { type: 'unsent', why: 'no connection' }
+const broken: AttemptOutcome = { type: 'broken', reason: 'reset', isClosed: true }
+const failed: AttemptOutcome = { type: 'failed', head: { status: 500, headers: {}, sentAt: 0 }, body: Buffer.alloc(0) }
+const notRun: AttemptOutcome = { type: 'not-run', reason: 'full', verdict: 'shed' }
+const unsent: AttemptOutcome = { type: 'unsent', reason: 'no connection' }
 
 describe('admission', () => {
   it('refuses what would be far too late, with the time to come back after', () => {
-    expect(admit(stateOf(), { ...candidate, waitMs: 3 * TARGET_MS })).toMatchObject({ type: 'refuse', afterMs: 2 * TARGET_MS })
+    expect(admit(stateOf(), { ...candidate, waitMs: 3 * TARGET_MS })).toMatchObject({ type: 'refuse', retryAfterMs: 2 * TARGET_MS })
     expect(admit(stateOf(), { ...candidate, waitMs: TARGET_MS / 2 })).toEqual({ type: 'send' })
   })
 
   it('refuses nothing for a wait at which less urgent requests are still taken', () => {
-    const state = { ...stateOf(), patienceMs: 2 * TARGET_MS }
+    const state = { ...stateOf(), acceptableWaitMs: 2 * TARGET_MS }
     expect(admit(state, { ...candidate, waitMs: 1.5 * TARGET_MS })).toEqual({ type: 'send' })
     expect(admit(state, { ...candidate, waitMs: 3 * TARGET_MS })).toMatchObject({ type: 'refuse' })
   })
@@ -85,68 +85,76 @@
   it('refuses neither the most urgent nor what may have run already', () => {
     expect(admit(stateOf({ tier: 0 }), { ...candidate, waitMs: 3 * TARGET_MS })).toEqual({ type: 'send' })
     const state = stateOf()
-    state.history.noteRun('i-1')
+    state.history.recordRun('i-1')
     expect(admit(state, { ...candidate, waitMs: 3 * TARGET_MS })).toEqual({ type: 'send' })
   })
 })
 
 describe('what follows an attempt', () => {
   it('is nothing after an answer or after the caller has left', () => {
-    expect(nextStep(stateOf(), 'i-1', { type: 'answered' })).toEqual({ type: 'over' })
-    expect(nextStep(stateOf(), 'i-1', { type: 'cancelled' })).toEqual({ type: 'over' })
+    expect(decideNextStep(stateOf(), 'i-1', { type: 'answered' })).toEqual({ type: 'over' })
+    expect(decideNextStep(stateOf(), 'i-1', { type: 'cancelled' })).toEqual({ type: 'over' })
   })
 
   it('is another attempt for what may be repeated, as often as the route allows', () => {
     const state = stateOf({ maxAttempts: 2 })
-    expect(nextStep(state, 'i-1', broken)).toMatchObject({ type: 'again' })
-    expect(nextStep(state, 'i-2', broken)).toMatchObject({ type: 'fail', code: 'ERR_GULLWALL_BROKEN', why: 'reset; 2 of 2 attempts made' })
+    expect(decideNextStep(state, 'i-1', broken)).toMatchObject({ type: 'again' })
+    expect(decideNextStep(state, 'i-2', broken)).toMatchObject({ type: 'fail', code: 'ERR_GULLWALL_BROKEN', reason: 'reset; 2 of 2 attempts made' })
     expect([...state.history.excluded]).toEqual(['i-1', 'i-2'])
   })
 
   it('is the failure for what runs at most once', () => {
-    expect(nextStep(stateOf({ kind: 'once' }), 'i-1', broken)).toMatchObject({ type: 'fail', code: 'ERR_GULLWALL_UNKNOWN_OUTCOME' })
-    expect(nextStep(stateOf({ isResumable: false }), 'i-1', broken)).toMatchObject({ type: 'fail', code: 'ERR_GULLWALL_UNKNOWN_OUTCOME' })
-    expect(nextStep(stateOf({ kind: 'once' }), 'i-1', failed)).toMatchObject({ type: 'pass-failure', head: { status: 500 } })
+    expect(decideNextStep(stateOf({ kind: 'once' }), 'i-1', broken)).toMatchObject({ type: 'fail', code: 'ERR_GULLWALL_UNKNOWN_OUTCOME' })
+    expect(decideNextStep(stateOf({ isResumable: false }), 'i-1', broken)).toMatchObject({ type: 'fail', code: 'ERR_GULLWALL_UNKNOWN_OUTCOME' })
+    expect(decideNextStep(stateOf({ kind: 'once' }), 'i-1', failed)).toMatchObject({ type: 'pass-failure', head: { status: 500 } })
   })
 
   it('costs the retry budget once an endpoint was reached, and ends with it', () => {
     const state = stateOf({ kind: 'once', slack: 3 })
-    expect(nextStep(state, 'i-1', unsent)).toMatchObject({ type: 'again', budgetLeft: state.budget.left })
-    expect(nextStep(state, 'i-2', notRun)).toMatchObject({ type: 'again' })
-    expect(nextStep(state, 'i-3', notRun)).toMatchObject({ type: 'refuse', why: 'full; no retry budget left' })
+    expect(decideNextStep(state, 'i-1', unsent)).toMatchObject({ type: 'again', budgetLeft: state.budget.remaining })
+    expect(decideNextStep(state, 'i-2', notRun)).toMatchObject({ type: 'again' })
+    expect(decideNextStep(state, 'i-3', notRun)).toMatchObject({ type: 'refuse', reason: 'full; no retry budget left' })
   })
 
   it('goes past any number of dead endpoints until the target has passed, and then tells the caller', () => {
     const state = stateOf()
     for (let dead = 0; dead < 30; dead += 1) {
-      expect(nextStep(state, `i-${dead}`, unsent, TARGET_MS / 2)).toMatchObject({ type: 'again' })
+      expect(decideNextStep(state, `i-${dead}`, unsent, TARGET_MS / 2)).toMatchObject({ type: 'again' })
     }
-    expect(nextStep(state, 'i-30', unsent, TARGET_MS)).toMatchObject({ type: 'refuse', why: '31 endpoints could not be reached: no connection' })
+    expect(decideNextStep(state, 'i-30', unsent, TARGET_MS)).toMatchObject({ type: 'refuse', reason: '31 endpoints could not be reached: no connection' })
   })
 
   it('goes past a few dead endpoints also after the target', () => {
     const state = stateOf()
-    const steps = Array.from({ length: 5 }, (_unused, dead) => nextStep(state, `i-${dead}`, unsent, 2 * TARGET_MS).type)
+    const steps = Array.from({ length: 5 }, (_unused, dead) => decideNextStep(state, `i-${dead}`, unsent, 2 * TARGET_MS).type)
     expect(steps).toEqual(['again', 'again', 'again', 'again', 'refuse'])
   })
 })
 
 describe('an endpoint that says nothing', () => {
-  const work: Work = {
-    startedAt: 0, unreadTokens: 0, urgency: 0, promptTokens: 0, strain: 0, isSensitive: false, aheadTokens: 0, hasBegun: true, eventAt: 0
+  const work: InFlightRequest = {
+    startedAt: 0,
+    unreadTokens: 0,
+    urgency: 0,
+    promptTokens: 0,
+    pauseSensitivity: 0,
+    isPauseSensitive: false,
+    aheadTokens: 0,
+    hasFirstEvent: true,
+    lastEventAt: 0
   }
   const running = (state: RequestState, hasAlternative = true) => ({
-    ...state, candidate, work, lastProgressAt: 0, hasAlternative: () => hasAlternative
+    ...state, candidate, inFlightRequest: work, lastProgressAt: 0, hasAlternative: () => hasAlternative
   })
 
   it('loses a repeatable request after more than its target, where another could take it', () => {
     const state = stateOf({ kind: 'repeatable' })
-    expect(silenceOf(running(state), TARGET_MS)).toBeUndefined()
-    expect(silenceOf(running(state), 2 * TARGET_MS)).toBe(`nothing for ${2 * TARGET_MS} ms`)
-    expect(silenceOf(running(state, false), 2 * TARGET_MS)).toBeUndefined()
+    expect(findStallReason(running(state), TARGET_MS)).toBeUndefined()
+    expect(findStallReason(running(state), 2 * TARGET_MS)).toBe(`nothing for ${2 * TARGET_MS} ms`)
+    expect(findStallReason(running(state, false), 2 * TARGET_MS)).toBeUndefined()
   })
 
   it('keeps what runs at most once', () => {
-    expect(silenceOf(running(stateOf({ kind: 'once' })), 100 * TARGET_MS)).toBeUndefined()
+    expect(findStallReason(running(stateOf({ kind: 'once' })), 100 * TARGET_MS)).toBeUndefined()
   })
 })
--- a/entry/gateway/test/attempts.fuzz.test.ts
+++ b/entry/gateway/test/attempts.fuzz.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check'
 import { request } from 'undici'
 import { type IncomingMessage, type ServerResponse } from 'node:http'
-import { GatewayDeployment, StandIn } from './stand-in.ts'
+import { GatewayDeployment, StubEndpoint } from './gateway-deployment.ts'
 
 const RUNS = Number(process.env['FUZZ_RUNS'] ?? 60)
 const SEED = Number(process.env['FUZZ_SEED'] ?? 11)
@@ -57,7 +57,7 @@
   return Array.from({ length: EVENTS - after }, (_, index) => `id: ${after + index + 1}\ndata: ${after + index + 1}\n\n`).join('')
 }
 
-const standIns = [new StandIn('i-1', 'app', behave), new StandIn('i-2', 'app', behave), new StandIn('i-3', 'app', behave)]
+const standIns = [new StubEndpoint('i-1', 'app', behave), new StubEndpoint('i-2', 'app', behave), new StubEndpoint('i-3', 'app', behave)]
 const deployment = new GatewayDeployment(standIns)
 
 beforeAll(async () => {
--- a/entry/gateway/test/caller-left.test.ts
+++ b/entry/gateway/test/caller-disconnected.test.ts
@@ -1,12 +1,12 @@
 import { spawnSync } from 'node:child_process'
 import { setTimeout as sleep } from 'node:timers/promises'
 import { afterAll, beforeAll, expect, it } from 'vitest'
-import { GatewayDeployment, StandIn } from './stand-in.ts'
+import { GatewayDeployment, StubEndpoint } from './gateway-deployment.ts'
 
 /** Long enough for a request to reach its endpoint, in ms. */
 const SETTLE_MS = 300
 
-const standIn = new StandIn('i-only', 'app')
+const standIn = new StubEndpoint('i-only', 'app')
 const deployment = new GatewayDeployment([standIn])
 
 beforeAll(async () => {
@@ -27,5 +27,5 @@
 it('a request whose caller left before this process came to it reaches no endpoint', async () => {
   sendWhileHeld('left')
   await sleep(SETTLE_MS)
-  expect(standIn.arrived).not.toContain('left')
+  expect(standIn.requestIds).not.toContain('left')
 })
--- a/entry/gateway/test/cold-path.test.ts
+++ b/entry/gateway/test/cold-endpoint-requests.test.ts
@@ -1,10 +1,10 @@
 import { afterAll, afterEach, beforeAll, describe, expect, it, vi } from 'vitest'
 import { request } from 'undici'
 import { until } from '@gullwall/bench.deployment'
-import { GatewayDeployment, StandIn } from './stand-in.ts'
+import { GatewayDeployment, StubEndpoint } from './gateway-deployment.ts'
 
-const cold = new StandIn('i-cold', 'app')
-const warm = new StandIn('i-warm', 'app')
+const cold = new StubEndpoint('i-cold', 'app')
+const warm = new StubEndpoint('i-warm', 'app')
 const deployment = new GatewayDeployment([cold, warm])
 const LONG_COLD_MS = 600_000
 
@@ -29,30 +29,30 @@
     const reply = await call()
     expect(reply).toMatchObject({ status: 503, headers: { 'retry-after': expect.any(String) as string } })
     expect(reply.text).toContain('no endpoint may have it: cold, and no grant is at hand')
-    expect(deployment.story(reply.id).at(-1)).toMatchObject({ decision: 'refuse', why: expect.stringContaining('kept from 1 cold') as string })
-    expect(cold.arrived).toEqual([])
+    expect(deployment.logRecordsOf(reply.id).at(-1)).toMatchObject({ decision: 'refuse', why: expect.stringContaining('kept from 1 cold') as string })
+    expect(cold.requestIds).toEqual([])
   })
 
   it('are sent under a grant of control', async () => {
     await until('a grant', async () => (await call()).status === 200)
-    expect(cold.arrived).toHaveLength(1)
-    expect(deployment.gateway.get('coldEngines').totals.sent).toBe(1)
+    expect(cold.requestIds).toHaveLength(1)
+    expect(deployment.gateway.get('coldEndpoints').totals.sent).toBe(1)
   }, 15_000)
 
   it('are sent elsewhere while there is no grant, which their log lines tell', async () => {
     await deployment.register(warm, 'ready', 1, 0)
     const replies = await Promise.all(Array.from({ length: 40 }, call))
     expect(replies.filter(({ status }) => status === 200)).toHaveLength(40)
-    expect(cold.arrived.length).toBeLessThanOrEqual(10)
-    const kept = replies.flatMap(({ id }) => deployment.story(id)).filter(({ why }) => String(why).endsWith('; kept from 1 cold without a grant'))
+    expect(cold.requestIds.length).toBeLessThanOrEqual(10)
+    const kept = replies.flatMap(({ id }) => deployment.logRecordsOf(id)).filter(({ why }) => String(why).endsWith('; kept from 1 cold without a grant'))
     expect(kept.length).toBeGreaterThan(0)
   })
 
   it('are not sent to one that has turned cold while they waited for a connection', async () => {
     const { connections, view } = deployment.gateway.services
-    const to = connections.to.bind(connections)
+    const to = connections.dispatcherFor.bind(connections)
     let turned = ''
-    vi.spyOn(connections, 'to').mockImplementation((description, ...rest) => {
+    vi.spyOn(connections, 'dispatcherFor').mockImplementation((description, ...rest) => {
       if (turned === '' && description.incarnation === warm.incarnation) {
         const [lease] = view.leases.toWire([view.leases.get(warm.incarnation)].filter((held) => held !== undefined))
         if (lease !== undefined) view.leases.merge([{ ...lease, sequence: lease.sequence + 1, coldMs: LONG_COLD_MS, ageMs: 0 }])
@@ -60,13 +60,13 @@
       }
       return to(description, ...rest)
     })
-    const before = warm.arrived.length
+    const before = warm.requestIds.length
     let last = ''
     await until('a request that was chosen for it', async () => {
       last = (await call()).id
       return turned !== ''
     })
-    expect(warm.arrived.length).toBe(before)
-    expect(deployment.story(last).map(({ why }) => why)).toContainEqual(expect.stringContaining('not sent: it has turned cold'))
+    expect(warm.requestIds.length).toBe(before)
+    expect(deployment.logRecordsOf(last).map(({ why }) => why)).toContainEqual(expect.stringContaining('not sent: it has turned cold'))
   })
 })
--- a/entry/gateway/test/cold-together.test.ts
+++ b/entry/gateway/test/cold-endpoint-scenarios.test.ts
@@ -1,8 +1,8 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
-import { rankOf, type EndpointState } from '@gullwall/routing.balancer'
-import { coldGrantBound, GrantLedger } from '../../../control/program/src/grant-ledger.ts'
+import { hashName, type EndpointState } from '@gullwall/routing.balancer'
+import { createColdGrantBound, GrantLedger } from '../../../control/program/src/grant-ledger.ts'
 import { type Call } from '../src/call.ts'
-import { BOUND, Box } from './cold-box.ts'
+import { MAX_REQUESTS_PER_SECOND, Box } from './cold-endpoint-fixture.ts'
 
 const LONG_COLD_MS = 60_000
 const SECOND = 1000
@@ -35,7 +35,7 @@
   refused = 0
   asks = 0
   private readonly boxes: Box[]
-  private readonly ledger = new GrantLedger({ opensAt: -Infinity })
+  private readonly ledger = new GrantLedger({ startsAt: -Infinity })
   private readonly startedAt = performance.now()
   private waiting: Waiting[] = []
 
@@ -68,12 +68,14 @@
 
   private newBox (name: string): Box {
     const box = new Box(name)
-    for (let index = 0; index < this.play.warm; index += 1) box.hear(`warm-${index}`, 0)
-    for (let index = 0; index < this.play.cold; index += 1) box.hear(`cold-${index}`, LONG_COLD_MS)
+    for (let index = 0; index < this.play.warm; index += 1) box.receiveLease(`warm-${index}`, 0)
+    for (let index = 0; index < this.play.cold; index += 1) box.receiveLease(`cold-${index}`, LONG_COLD_MS)
     box.entries = this.play.boxes
-    box.answer = async (wishes) => {
+    box.answerGrants = async (wishes) => {
       this.asks += 1
-      return wishes.map((wish) => this.ledger.grant({ ...wish, box: name, bounds: [coldGrantBound(BOUND)] }, performance.now()))
+      return wishes.map(
+        (wish) => this.ledger.grant({ ...wish, box: name, bounds: [createColdGrantBound(MAX_REQUESTS_PER_SECOND)] }, performance.now())
+      )
     }
     return box
   }
@@ -101,7 +103,7 @@
 
   private send (box: Box, call: Call): boolean {
     const [chosen] = box.eligible(call).sort((left, right) => this.countOf(left) - this.countOf(right))
-    if (chosen === undefined || !box.engines.take(chosen)) return false
+    if (chosen === undefined || !box.coldEndpoints.tryTakeGrant(chosen)) return false
     const { incarnation } = chosen.description
     this.sent.set(incarnation, [...this.sent.get(incarnation) ?? [], performance.now()])
     return true
@@ -114,11 +116,11 @@
 
 async function played (play: Play): Promise<Together> {
   let draws = 0
-  const together = new Together(play, () => rankOf(`${SEED} ${draws++}`) / 2 ** 32)
+  const together = new Together(play, () => hashName(`${SEED} ${draws++}`) / 2 ** 32)
   await together.run()
   const { total, refused, asks, busiest } = together
   console.log(`seed ${SEED}: ${total} requests, ${refused} refused, ${together.sentTo('cold')} sent to cold endpoints, ` +
-    `at most ${busiest} of ${BOUND} to one within a second, ${Math.round(asks / SECONDS)} asks a second`)
+    `at most ${busiest} of ${MAX_REQUESTS_PER_SECOND} to one within a second, ${Math.round(asks / SECONDS)} asks a second`)
   return together
 }
 
@@ -128,7 +130,7 @@
 describe('a whole data centre that comes back cold', () => {
   it('fills up at the granted rate, while warm endpoints elsewhere take the work', async () => {
     const together = await played({ boxes: 28, warm: 24, cold: 12, rate: 5.2, patienceMs: 80 })
-    expect(together.busiest).toBeLessThanOrEqual(BOUND)
+    expect(together.busiest).toBeLessThanOrEqual(MAX_REQUESTS_PER_SECOND)
     expect(together.refused).toBe(0)
     // All of them are used, and no request but those of the first second would wait for them.
     expect([...together.sent.keys()].filter((name) => name.startsWith('cold'))).toHaveLength(12)
@@ -139,10 +141,10 @@
 describe('a service all of whose endpoints are cold', () => {
   it('is served at the granted rate, and refuses what comes beyond it', async () => {
     const enough = await played({ boxes: 28, warm: 0, cold: 36, rate: 5.2, patienceMs: 80 })
-    expect(enough.busiest).toBeLessThanOrEqual(BOUND)
+    expect(enough.busiest).toBeLessThanOrEqual(MAX_REQUESTS_PER_SECOND)
     expect(enough.refused).toBeLessThan(enough.total / 20)
     const tooMuch = await played({ boxes: 28, warm: 0, cold: 3, rate: 5.2, patienceMs: 80 })
-    expect(tooMuch.busiest).toBeLessThanOrEqual(BOUND)
+    expect(tooMuch.busiest).toBeLessThanOrEqual(MAX_REQUESTS_PER_SECOND)
     expect(tooMuch.refused).toBeGreaterThan(tooMuch.total / 2)
     expect(tooMuch.sentTo('cold')).toBeGreaterThan(3 * 5 * SECONDS)
   }, 20_000)
--- a/entry/gateway/test/cold-engines.test.ts
+++ b/entry/gateway/test/cold-endpoints.test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
 import { type Grant } from '@gullwall/transport.messages'
-import { Box, COLD_LIMIT } from './cold-box.ts'
+import { Box, COLD_LIMIT } from './cold-endpoint-fixture.ts'
 
 const LONG_COLD_MS = 60_000
 const SECOND = 1000
@@ -18,49 +18,49 @@
 describe('a cold endpoint', () => {
   it('gets nothing without a grant, and the request is told why', async () => {
     const box = new Box()
-    const cold = box.hear('i-cold', 5000)
-    const warm = box.hear('i-warm', 0)
+    const cold = box.receiveLease('i-cold', 5000)
+    const warm = box.receiveLease('i-warm', 0)
     const call = box.call()
     expect(box.eligible(call)).toEqual([warm])
-    expect(box.whyNot(cold, call)).toMatch(/^cold, and no grant is at hand \(it said 0 ms ago: for 5000 ms\)/)
-    expect(box.engines.take(cold)).toBe(false)
-    expect(box.engines.noteOf(call)).toBe('; kept from 1 cold without a grant')
-    expect(box.engines.noteOf(box.call())).toBe('')
+    expect(box.findExclusionReason(cold, call)).toMatch(/^cold, and no grant is at hand \(it said 0 ms ago: for 5000 ms\)/)
+    expect(box.coldEndpoints.tryTakeGrant(cold)).toBe(false)
+    expect(box.coldEndpoints.describeExcluded(call)).toBe('; kept from 1 cold without a grant')
+    expect(box.coldEndpoints.describeExcluded(box.call())).toBe('')
     await settle()
-    expect(box.asked).toEqual([[{ incarnation: 'i-cold', service: 'lm', requests: 2 }]])
-    expect(box.engines.totals).toEqual({ kept: 1, sent: 0 })
+    expect(box.grantRequests).toEqual([[{ incarnation: 'i-cold', service: 'lm', requests: 2 }]])
+    expect(box.coldEndpoints.totals).toEqual({ excluded: 1, sent: 0 })
   })
 
   it('gets as many requests as were granted', async () => {
     const box = new Box()
-    const cold = box.hear('i-cold', 5000)
-    box.answer = async () => [grant('i-cold', 2)]
+    const cold = box.receiveLease('i-cold', 5000)
+    box.answerGrants = async () => [grant('i-cold', 2)]
     box.eligible()
     await settle()
-    expect(box.woken).toBe(1)
+    expect(box.wakeCount).toBe(1)
     expect(box.eligible()).toEqual([cold])
-    expect([1, 2, 3].map(() => box.engines.take(cold))).toEqual([true, true, false])
+    expect([1, 2, 3].map(() => box.coldEndpoints.tryTakeGrant(cold))).toEqual([true, true, false])
     expect(box.eligible()).toEqual([])
   })
 
   it('gets nothing under a grant that is over, also if that ends between the choice and the send', async () => {
     const box = new Box()
-    const cold = box.hear('i-cold', 5000)
-    box.answer = async () => [grant('i-cold', 5)]
+    const cold = box.receiveLease('i-cold', 5000)
+    box.answerGrants = async () => [grant('i-cold', 5)]
     box.eligible()
     await settle()
     await vi.advanceTimersByTimeAsync(599)
     expect(box.eligible()).toEqual([cold])
     await vi.advanceTimersByTimeAsync(1)
-    expect(box.engines.take(cold)).toBe(false)
+    expect(box.coldEndpoints.tryTakeGrant(cold)).toBe(false)
     expect(box.eligible()).toEqual([])
   })
 
   it('gets nothing under a grant that was too long under way: its time runs from the ask', async () => {
     const box = new Box()
-    box.hear('i-cold', 5000)
+    box.receiveLease('i-cold', 5000)
     let answer: (grants: Grant[]) => void = () => {}
-    box.answer = async () => await new Promise((resolve) => { answer = resolve })
+    box.answerGrants = async () => await new Promise((resolve) => { answer = resolve })
     box.eligible()
     await vi.advanceTimersByTimeAsync(600)
     answer([grant('i-cold', 5)])
@@ -70,147 +70,149 @@
 
   it('is asked for again only after the time that a refusal names', async () => {
     const box = new Box()
-    box.hear('i-cold', 5000)
-    box.answer = async () => [grant('i-cold', 0, 700)]
+    box.receiveLease('i-cold', 5000)
+    box.answerGrants = async () => [grant('i-cold', 0, 700)]
     for (let ms = 0; ms < 700; ms += 50) {
       box.eligible()
       await vi.advanceTimersByTimeAsync(50)
     }
-    expect(box.asked).toHaveLength(1)
+    expect(box.grantRequests).toHaveLength(1)
     box.eligible()
     await settle()
-    expect(box.asked).toHaveLength(2)
+    expect(box.grantRequests).toHaveLength(2)
   })
 
   it('is asked for again by a request that waits, though no other arrives', async () => {
     const box = new Box()
-    box.hear('i-cold', 5000)
-    box.answer = async () => [grant('i-cold', 0, 300)]
+    box.receiveLease('i-cold', 5000)
+    box.answerGrants = async () => [grant('i-cold', 0, 300)]
     box.eligible()
     await settle()
-    const woken = box.woken
+    const woken = box.wakeCount
     await vi.advanceTimersByTimeAsync(301)
-    expect(box.woken).toBeGreaterThan(woken)
+    expect(box.wakeCount).toBeGreaterThan(woken)
   })
 
   it('gets nothing while nobody answers, and asks then come less often', async () => {
     const box = new Box()
-    box.hear('i-cold', LONG_COLD_MS)
-    box.answer = async () => { throw new Error('no leader is known') }
+    box.receiveLease('i-cold', LONG_COLD_MS)
+    box.answerGrants = async () => { throw new Error('no leader is known') }
     for (let ms = 0; ms < 2000; ms += 20) {
       expect(box.eligible()).toEqual([])
       await vi.advanceTimersByTimeAsync(20)
     }
-    expect(box.asked.length).toBeGreaterThan(2)
-    expect(box.asked.length).toBeLessThanOrEqual(5)
-    expect(box.engines.asker.totals.failed).toBe(box.asked.length)
+    expect(box.grantRequests.length).toBeGreaterThan(2)
+    expect(box.grantRequests.length).toBeLessThanOrEqual(5)
+    expect(box.coldEndpoints.grantRequester.totals.failed).toBe(box.grantRequests.length)
   })
 
   it('is asked for the more rarely the more boxes ask, so that one process can answer all of them', async () => {
     const asksOf = async (entries: number) => {
       const box = new Box()
       box.entries = entries
-      box.hear('i-cold', LONG_COLD_MS)
+      box.receiveLease('i-cold', LONG_COLD_MS)
       for (let ms = 0; ms < SECOND; ms += 10) {
         box.eligible()
         await vi.advanceTimersByTimeAsync(10)
       }
-      return box.asked.length
+      return box.grantRequests.length
     }
     expect([await asksOf(28), await asksOf(560)]).toEqual([20, 4])
   })
 
   it('is asked for as many requests as came lately, also where its service is one of several of a route', async () => {
     const box = new Box()
-    box.hear('i-1', LONG_COLD_MS)
-    box.hear('i-2', LONG_COLD_MS, { service: 'lm-next' })
+    box.receiveLease('i-1', LONG_COLD_MS)
+    box.receiveLease('i-2', LONG_COLD_MS, { service: 'lm-next' })
     for (let calls = 0; calls < 3; calls += 1) box.eligible()
     await settle()
-    expect(box.asked.flat().map(({ service, requests }) => ({ service, requests }))).toEqual([
+    expect(box.grantRequests.flat().map(({ service, requests }) => ({ service, requests }))).toEqual([
       { service: 'lm', requests: 4 }, { service: 'lm-next', requests: 4 }
     ])
   })
 
   it('is not asked for while half of what is needed is at hand', async () => {
     const box = new Box()
-    box.hear('i-1', LONG_COLD_MS)
-    box.hear('i-2', LONG_COLD_MS)
-    box.answer = async (wishes) => wishes.map(({ incarnation }) => grant(incarnation, 1))
+    box.receiveLease('i-1', LONG_COLD_MS)
+    box.receiveLease('i-2', LONG_COLD_MS)
+    box.answerGrants = async (wishes) => wishes.map(({ incarnation }) => grant(incarnation, 1))
     box.eligible()
     await settle()
     // One grant is there, and two requests came lately.
     await vi.advanceTimersByTimeAsync(60)
     box.eligible()
     await settle()
-    expect(box.asked).toHaveLength(2)
+    expect(box.grantRequests).toHaveLength(2)
     await vi.advanceTimersByTimeAsync(60)
     box.eligible()
     await settle()
-    expect(box.asked).toHaveLength(2)
+    expect(box.grantRequests).toHaveLength(2)
   })
 
   it('is not spared where its service does not say what it bears', () => {
     const box = new Box()
-    const plain = box.hear('i-plain', 5000, { service: 'plain' })
-    expect(box.whyNot(plain)).toBeUndefined()
-    expect(box.engines.take(plain)).toBe(true)
+    const plain = box.receiveLease('i-plain', 5000, { service: 'plain' })
+    expect(box.findExclusionReason(plain)).toBeUndefined()
+    expect(box.coldEndpoints.tryTakeGrant(plain)).toBe(true)
   })
 })
 
 describe('an endpoint', () => {
   it('is cold for the time that it told, less the age of its word, and a little more', async () => {
     const box = new Box()
-    const endpoint = box.hear('i-1', 2000, { ageMs: 1000 })
-    expect(box.whyNot(endpoint)).toBeDefined()
+    const endpoint = box.receiveLease('i-1', 2000, { ageMs: 1000 })
+    expect(box.findExclusionReason(endpoint)).toBeDefined()
     await vi.advanceTimersByTimeAsync(1000)
-    expect(box.whyNot(endpoint)).toBeDefined()
+    expect(box.findExclusionReason(endpoint)).toBeDefined()
     await vi.advanceTimersByTimeAsync(110)
-    expect(box.whyNot(endpoint)).toBeUndefined()
+    expect(box.findExclusionReason(endpoint)).toBeUndefined()
   })
 
   it('that turns cold again gets nothing more', () => {
     const box = new Box()
-    const endpoint = box.hear('i-1', 0)
-    expect(box.whyNot(endpoint)).toBeUndefined()
-    box.hear('i-1', 5000)
-    expect(box.whyNot(endpoint)).toBeDefined()
+    const endpoint = box.receiveLease('i-1', 0)
+    expect(box.findExclusionReason(endpoint)).toBeUndefined()
+    box.receiveLease('i-1', 5000)
+    expect(box.findExclusionReason(endpoint)).toBeDefined()
   })
 
   it('that appears during traffic and does not say is taken to be cold for its usual time', async () => {
     const box = new Box()
-    const old = box.hear('i-old', undefined)
-    expect(box.whyNot(old)).toBeUndefined()
+    const old = box.receiveLease('i-old', undefined)
+    expect(box.findExclusionReason(old)).toBeUndefined()
     await vi.advanceTimersByTimeAsync(5000)
-    const fresh = box.hear('i-new', undefined)
-    expect([old, fresh].map((endpoint) => box.whyNot(endpoint) === undefined)).toEqual([true, false])
+    const fresh = box.receiveLease('i-new', undefined)
+    expect([old, fresh].map((endpoint) => box.findExclusionReason(endpoint) === undefined)).toEqual([true, false])
     await vi.advanceTimersByTimeAsync(COLD_LIMIT.startMs)
-    expect(box.whyNot(fresh)).toBeUndefined()
+    expect(box.findExclusionReason(fresh)).toBeUndefined()
   })
 
   it('of a data centre that gets work again is cold until a heartbeat that was begun later says otherwise', async () => {
     const box = new Box()
-    const near = box.hear('i-near', 0)
-    const far = box.hear('i-far', 0, { dataCentre: 'dc2' })
+    const near = box.receiveLease('i-near', 0)
+    const far = box.receiveLease('i-far', 0, { dataCentre: 'dc2' })
     expect(box.eligible()).toEqual([near, far])
-    box.engines.assumeCold('dc2')
+    box.coldEndpoints.assumeCold('dc2')
     expect(box.eligible()).toEqual([near])
     await vi.advanceTimersByTimeAsync(900)
     // This one may have been begun before.
-    box.hear('i-far', 0, { dataCentre: 'dc2' })
+    box.receiveLease('i-far', 0, { dataCentre: 'dc2' })
     expect(box.eligible()).toEqual([near])
     await vi.advanceTimersByTimeAsync(300)
-    box.hear('i-far', 0, { dataCentre: 'dc2' })
+    box.receiveLease('i-far', 0, { dataCentre: 'dc2' })
     expect(box.eligible()).toEqual([near, far])
   })
 
   it('that has turned warm gets a growing share of the requests', async () => {
     const box = new Box()
-    const warm = ['i-1', 'i-2', 'i-3'].map((name) => box.hear(name, 0))
-    const endpoint = box.hear('i-4', 1000)
+    const warm = ['i-1', 'i-2', 'i-3'].map((name) => box.receiveLease(name, 0))
+    const endpoint = box.receiveLease('i-4', 1000)
     box.eligible()
     await vi.advanceTimersByTimeAsync(1100)
     const shareNow = () => {
-      const preferred = Array.from({ length: 400 }, () => box.call()).map((call) => box.engines.preferred(box.eligible(call), call))
+      const preferred = Array.from({ length: 400 }, () => box.call()).map(
+        (call) => box.coldEndpoints.selectPreferred(box.eligible(call), call)
+      )
       expect(preferred.every((those) => warm.every((other) => those.includes(other)))).toBe(true)
       return preferred.filter((those) => those.includes(endpoint)).length / 400
     }
@@ -223,11 +225,11 @@
 
   it('that has turned warm with most others gets its work at once: the few others could not take all of it', async () => {
     const box = new Box()
-    box.hear('i-warm', 0)
-    for (const name of ['i-1', 'i-2', 'i-3']) box.hear(name, 1000)
+    box.receiveLease('i-warm', 0)
+    for (const name of ['i-1', 'i-2', 'i-3']) box.receiveLease(name, 1000)
     box.eligible()
     await vi.advanceTimersByTimeAsync(1100)
     const call = box.call()
-    expect(box.engines.preferred(box.eligible(call), call)).toHaveLength(4)
+    expect(box.coldEndpoints.selectPreferred(box.eligible(call), call)).toHaveLength(4)
   })
 })
--- a/entry/gateway/test/crashing-engines.ts
+++ b/entry/gateway/test/crashing-engines.ts
@@ -1,14 +1,14 @@
 /** Engines whose process ends when it begins to run a certain body, and starts again at the same address. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { type IncomingMessage, type ServerResponse } from 'node:http'
-import { answerWell, StandIn, type GatewayDeployment } from './stand-in.ts'
+import { answerOk, StubEndpoint, type GatewayDeployment } from './gateway-deployment.ts'
 
 /** After a crash the process is back after so long, in ms. */
-export const BACK_AFTER_MS = 250
+export const RESTART_DELAY_MS = 250
 
 const HEARTBEAT_MS = 500
 
-export interface CrashingOptions {
+export interface CrashingEnginesOptions {
   /** Whether a request with this body ends the process that runs it. */
   crashes: (body: string) => boolean
   /** How long a request runs before it is answered, or ends its engine, in ms. */
@@ -20,12 +20,12 @@
   readonly crashes: string[][] = []
   /** The bodies that were run, with their time. */
   readonly runs: Array<{ body: string, at: number }> = []
-  private readonly places: Array<{ standIn: StandIn, running: string[], sequence: number }> = []
+  private readonly places: Array<{ standIn: StubEndpoint, running: string[], sequence: number }> = []
   private starts = 0
   private isOver = false
   private timer: NodeJS.Timeout | undefined
 
-  constructor (private readonly deployment: GatewayDeployment, private readonly options: CrashingOptions) {}
+  constructor (private readonly deployment: GatewayDeployment, private readonly options: CrashingEnginesOptions) {}
 
   async start (count: number): Promise<void> {
     for (let place = 0; place < count; place += 1) await this.startAt(place)
@@ -40,28 +40,28 @@
   }
 
   /** How many processes are up. */
-  get up (): number {
-    return this.places.filter(({ standIn }) => standIn.isUp).length
+  get upCount (): number {
+    return this.places.filter(({ standIn }) => standIn.isListening).length
   }
 
   /** Ends the process at a place as a crash does, whatever it runs. */
   crash (place: number): void {
     const { standIn, running } = this.places[place] ?? this.missing(place)
-    if (!standIn.isUp) return
+    if (!standIn.isListening) return
     this.crashes.push([...running])
     standIn.stop()
     void this.backLater(place)
   }
 
   private async backLater (place: number): Promise<void> {
-    await sleep(BACK_AFTER_MS)
+    await sleep(RESTART_DELAY_MS)
     if (!this.isOver) await this.startAt(place)
   }
 
   private async startAt (place: number): Promise<void> {
     this.starts += 1
     const running: string[] = []
-    const standIn = new StandIn(`i-${place}-${this.starts}`, 'app', (request, response, body) => {
+    const standIn = new StubEndpoint(`i-${place}-${this.starts}`, 'app', (request, response, body) => {
       void this.run({ place, running, request, response, body })
     })
     const port = Number(this.places[place]?.standIn.address.split(':')[1] ?? 0)
@@ -73,10 +73,10 @@
   /** Has the endpoints that are up say so, or the one at a place. */
   private async beat (only?: number): Promise<void> {
     for (const [place, known] of this.places.entries()) {
-      if (!known.standIn.isUp || (only !== undefined && only !== place)) continue
+      if (!known.standIn.isListening || (only !== undefined && only !== place)) continue
       known.sequence += 1
       const { incarnation, service, address, dataCentre } = known.standIn
-      await this.deployment.control.get('registrar').hear({
+      await this.deployment.control.get('registrar').receiveHeartbeat({
         incarnation, service, address, dataCentre, slots: 4, state: 'ready', sequence: known.sequence, ageMs: 0
       })
     }
@@ -91,7 +91,7 @@
       this.crash(place)
     } else if (!response.destroyed) {
       running.splice(running.indexOf(body), 1)
-      answerWell(request, response, body)
+      answerOk(request, response, body)
     }
   }
 
--- a/entry/gateway/test/crashing-request.test.ts
+++ b/entry/gateway/test/crashing-request.test.ts
@@ -11,7 +11,7 @@
 import { type Kernel } from '@gullwall/core.kernel'
 import { until } from '@gullwall/bench.deployment'
 import { CrashingEngines } from './crashing-engines.ts'
-import { GatewayDeployment } from './stand-in.ts'
+import { GatewayDeployment } from './gateway-deployment.ts'
 
 const ENGINES = 6
 const ARRIVALS = 16
@@ -60,7 +60,7 @@
   })
 
   it('does not keep other requests of the same caller on the same path from being served', async () => {
-    await until('all engines', () => engines.up === ENGINES)
+    await until('all engines', () => engines.upCount === ENGINES)
     for (const [index, gateway] of gateways.entries()) expect((await send(gateway, `another sheet ${index}`)).status).toBe(200)
   })
 })
--- a/entry/gateway/test/region-crossings.test.ts
+++ b/entry/gateway/test/cross-region-traffic.test.ts
@@ -1,9 +1,9 @@
 import { afterAll, beforeAll, beforeEach, expect, it } from 'vitest'
 import { request } from 'undici'
-import { answerWell, GatewayDeployment, StandIn, type Behaviour } from './stand-in.ts'
+import { answerOk, GatewayDeployment, StubEndpoint, type Behaviour } from './gateway-deployment.ts'
 
-const near = new StandIn('i-near', 'app', answerWell, 'dc1')
-const far = new StandIn('i-far', 'app', answerWell, 'dc2')
+const near = new StubEndpoint('i-near', 'app', answerOk, 'dc1')
+const far = new StubEndpoint('i-far', 'app', answerOk, 'dc2')
 const both = [near, far]
 const deployment = new GatewayDeployment(both)
 let ids = 0
@@ -32,28 +32,28 @@
   await deployment.configure(1)
 })
 afterAll(async () => await deployment.stop())
-beforeEach(() => { for (const standIn of both) standIn.behaviour = answerWell })
+beforeEach(() => { for (const standIn of both) standIn.behaviour = answerOk })
 
 it('requests stay in the region of their gateway while that takes them, and cross when it does not', async () => {
   for (let count = 0; count < 20; count += 1) await send('x')
-  expect(far.arrived).toEqual([])
+  expect(far.requestIds).toEqual([])
   expect(await figure('gullwall_leaving_requests_total{region="south"}')).toBe(0)
   near.behaviour = notRun
   const { id, status } = await send('x'.repeat(5000))
-  expect([status, far.arrived]).toEqual([200, [id]])
+  expect([status, far.requestIds]).toEqual([200, [id]])
   expect(await figure('gullwall_leaving_requests_total{region="south"}')).toBe(1)
   expect(await figure('gullwall_leaving_bytes_total{region="south"}')).toBeGreaterThan(5000)
-  const line = deployment.story(id).find(({ decision, attempt, endpoint }) => decision === 'dispatch' && attempt === 1 && endpoint === 'i-far')
+  const line = deployment.logRecordsOf(id).find(({ decision, attempt, endpoint }) => decision === 'dispatch' && attempt === 1 && endpoint === 'i-far')
   expect(line?.['why']).toMatch(/^leaves its region for south: no endpoint there takes it, the way \d+ of the cost$/)
 })
 
 it('the link lets no more across than this gateway\'s part, and refuses what then has no endpoint', async () => {
   near.behaviour = notRun
-  const { link } = deployment.gateway.get('crossings')
-  link.take(1e9)
+  const { link } = deployment.gateway.get('crossRegionTraffic')
+  link.recordBytes(1e9)
   const { id, status } = await send('x')
-  expect(deployment.story(id).at(-1)?.['why']).toContain('the link to others has no room')
-  expect([status, far.arrived.includes(id)]).toEqual([503, false])
-  link.take(-1e9)
+  expect(deployment.logRecordsOf(id).at(-1)?.['why']).toContain('the link to others has no room')
+  expect([status, far.requestIds.includes(id)]).toEqual([503, false])
+  link.recordBytes(-1e9)
   expect((await send('x')).status).toBe(200)
 })
--- a/entry/gateway/test/lives.test.ts
+++ b/entry/gateway/test/endpoint-restart.test.ts
@@ -3,15 +3,15 @@
 import { request } from 'undici'
 import { lifeOf } from '@gullwall/control.registry'
 import { until } from '@gullwall/bench.deployment'
-import { GatewayDeployment, StandIn } from './stand-in.ts'
+import { GatewayDeployment, StubEndpoint } from './gateway-deployment.ts'
 
-const standIn = new StandIn('e', 'app')
+const standIn = new StubEndpoint('e', 'app')
 const deployment = new GatewayDeployment([standIn])
 const PROMPT = { 'x-gullwall-prompt-parts': 'shared:20000,own:10' }
 
 async function hear (born: number, sequence: number, state: 'ready' | 'draining' | 'gone' = 'ready'): Promise<void> {
   const { service, address, dataCentre } = standIn
-  await deployment.control.get('registrar').hear({ ...lifeOf('e', born), service, address, dataCentre, slots: 4, state, sequence, ageMs: 0 })
+  await deployment.control.get('registrar').receiveHeartbeat({ ...lifeOf('e', born), service, address, dataCentre, slots: 4, state, sequence, ageMs: 0 })
 }
 
 async function send (id: string): Promise<void> {
@@ -23,7 +23,7 @@
 }
 
 const view = () => deployment.gateway.get('view')
-const unreadOf = (id: string) => Number(deployment.story(id)[0]?.['unreadTokens'])
+const unreadOf = (id: string) => Number(deployment.logRecordsOf(id)[0]?.['unreadTokens'])
 
 beforeAll(async () => {
   await deployment.start()
--- a/entry/gateway/test/patience.test.ts
+++ b/entry/gateway/test/endpoint-wait.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import { type Call } from '../src/call.ts'
-import { returnAfterMs, waitRank, waitsUntil } from '../src/patience.ts'
+import { chooseRetryAfterMs, waitRank, findWaitDeadline } from '../src/endpoint-wait.ts'
 
 const TARGET_MS = 400
 const route = { targetMs: TARGET_MS } as Call['route']
@@ -10,27 +10,29 @@
 
 describe('a request', () => {
   it('waits a quarter of its target for an endpoint', () => {
-    expect(waitsUntil({ call, resumedAt: undefined, restMs: 0, now: 1010 })).toBe(1100)
-    expect(waitsUntil({ call: { ...call, deadline: 1050 }, resumedAt: undefined, restMs: 0, now: 1010 })).toBe(1050)
+    expect(findWaitDeadline({ call, resumedAt: undefined, availabilityDelayMs: 0, now: 1010 })).toBe(1100)
+    expect(findWaitDeadline({ call: { ...call, deadline: 1050 }, resumedAt: undefined, availabilityDelayMs: 0, now: 1010 })).toBe(1050)
   })
 
   it('waits as long where the first rest ends by then, and not at all where it ends later', () => {
-    expect(waitsUntil({ call, resumedAt: undefined, restMs: 90, now: 1010 })).toBe(1100)
-    expect(waitsUntil({ call, resumedAt: undefined, restMs: 91, now: 1010 })).toBe(1010)
+    expect(findWaitDeadline({ call, resumedAt: undefined, availabilityDelayMs: 90, now: 1010 })).toBe(1100)
+    expect(findWaitDeadline({ call, resumedAt: undefined, availabilityDelayMs: 91, now: 1010 })).toBe(1010)
   })
 
   it('that may have run waits for a rest of up to two seconds, and for the slow start after it, within its time', () => {
-    expect(waitsUntil({ call, resumedAt: 3000, restMs: 1500, now: 3000 })).toBe(5000)
-    expect(waitsUntil({ call, resumedAt: 3000, restMs: 2001, now: 3000 })).toBe(3000)
-    expect(waitsUntil({ call: { ...call, deadline: 4550 }, resumedAt: 3000, restMs: 1500, now: 3000 })).toBe(4550)
-    expect(waitsUntil({ call: { ...call, deadline: 4400 }, resumedAt: 3000, restMs: 1500, now: 3000 })).toBe(3000)
+    expect(findWaitDeadline({ call, resumedAt: 3000, availabilityDelayMs: 1500, now: 3000 })).toBe(5000)
+    expect(findWaitDeadline({ call, resumedAt: 3000, availabilityDelayMs: 2001, now: 3000 })).toBe(3000)
+    expect(findWaitDeadline({ call: { ...call, deadline: 4550 }, resumedAt: 3000, availabilityDelayMs: 1500, now: 3000 })).toBe(4550)
+    expect(findWaitDeadline({ call: { ...call, deadline: 4400 }, resumedAt: 3000, availabilityDelayMs: 1500, now: 3000 })).toBe(3000)
   })
 
   it('never waits beyond its deadline, nor is kept waiting for what comes too late', () => {
     fc.assert(fc.property(fc.nat(5000), fc.nat(5000), fc.option(fc.nat(3000), { nil: undefined }), (restMs, deadlineMs, resumed) => {
       const deadline = call.arrivedAt + deadlineMs
       const now = call.arrivedAt + (resumed ?? 0)
-      const until = waitsUntil({ call: { ...call, deadline }, resumedAt: resumed === undefined ? undefined : now, restMs, now })
+      const until = findWaitDeadline(
+        { call: { ...call, deadline }, resumedAt: resumed === undefined ? undefined : now, availabilityDelayMs: restMs, now }
+      )
       expect(until).toBeLessThanOrEqual(Math.max(now, deadline))
       if (restMs > 0 && until > now) expect(until).toBeGreaterThanOrEqual(now + restMs)
     }), { numRuns: 1000 })
@@ -39,8 +41,8 @@
 
 describe('callers that are sent away', () => {
   it('come back after the rest, the more urgent first, over a second', () => {
-    expect([0, 1, 2, 3, 7].map((tier) => returnAfterMs(3000, tier, () => 0))).toEqual([3000, 3250, 3500, 3750, 3750])
-    expect(returnAfterMs(3000, 3, () => 0.999)).toBeLessThan(4000)
+    expect([0, 1, 2, 3, 7].map((tier) => chooseRetryAfterMs(3000, tier, () => 0))).toEqual([3000, 3250, 3500, 3750, 3750])
+    expect(chooseRetryAfterMs(3000, 3, () => 0.999)).toBeLessThan(4000)
   })
 })
 
--- a/entry/gateway/test/evacuated-places.test.ts
+++ b/entry/gateway/test/evacuated-data-centres.test.ts
@@ -3,7 +3,7 @@
 import { RevisionStore } from '@gullwall/config.spread'
 import { ControlState } from '@gullwall/control.state'
 import { silentLogger } from '@gullwall/core.logger'
-import { EvacuatedPlaces } from '../src/evacuated-places.ts'
+import { EvacuatedDataCentres } from '../src/evacuated-data-centres.ts'
 import { Exchange } from '../src/exchange.ts'
 
 /** Records as control decides them, at a store that is brought up to date when the test says so. */
@@ -12,7 +12,7 @@
   readonly control = new ControlState()
   readonly withdrawn: string[] = []
   readonly wake = vi.fn()
-  readonly places = new EvacuatedPlaces({ store: this.store, logger: silentLogger(), view: { wake: this.wake } })
+  readonly places = new EvacuatedDataCentres({ store: this.store, logger: silentLogger(), view: { wake: this.wake } })
 
   constructor () {
     this.places.onWithdrawn((dataCentre) => this.withdrawn.push(dataCentre))
@@ -75,12 +75,12 @@
     let isEvacuated = false
     const why = 'data centre dc1 is evacuated'
     const exchange = new Exchange(dispatcher, 'http://127.0.0.1:1', {
-      method: 'GET', path: '/', headers: [], body: undefined, connectMs: 60_000, whyNot: () => isEvacuated ? why : undefined, wasClosedWell: async () => true
+      method: 'GET', path: '/', headers: [], body: undefined, connectMs: 60_000, findRefusalReason: () => isEvacuated ? why : undefined, wasClosedCleanly: async () => true
     }, { onInterim: () => {}, onHead: () => true, onData: () => {} })
     isEvacuated = true
     const abort = vi.fn()
     handler?.onRequestStart?.({ abort } as unknown as Dispatcher.DispatchController, {})
-    expect(await exchange.ended).toEqual({ type: 'withheld', why })
+    expect(await exchange.outcome).toEqual({ type: 'withheld', reason: why })
     expect(abort).toHaveBeenCalled()
     expect(exchange.isSent).toBe(false)
   })
--- a/entry/gateway/test/evacuation.test.ts
+++ b/entry/gateway/test/evacuation.test.ts
@@ -4,13 +4,13 @@
 import { until } from '@gullwall/bench.deployment'
 import { type OrderCaller } from '@gullwall/control.program'
 import { createGateway } from '@gullwall/entry.gateway'
-import { answerWell, GatewayDeployment, StandIn, type Behaviour } from './stand-in.ts'
+import { answerOk, GatewayDeployment, StubEndpoint, type Behaviour } from './gateway-deployment.ts'
 
-const near = new StandIn('i-near', 'app')
-const far = new StandIn('i-far', 'app')
+const near = new StubEndpoint('i-near', 'app')
+const far = new StubEndpoint('i-far', 'app')
 const both = [near, far]
 const deployment = new GatewayDeployment(both, { dc1: 'north', dc2: 'north' })
-const caller: OrderCaller = { hasLeft: false, leftBefore: async () => false }
+const caller: OrderCaller = { isDisconnected: false, wasDisconnectedBefore: async () => false }
 
 /** For how long a new request waits for an endpoint, in ms: a quarter of its target. */
 const PATIENCE_MS = 100
@@ -38,7 +38,7 @@
   return await callAt(deployment.url(''), path, headers, body)
 }
 
-const places = () => deployment.gateway.get('evacuatedPlaces')
+const places = () => deployment.gateway.get('evacuatedDataCentres')
 
 async function order (dataCentre: string, isEvacuated: boolean): Promise<void> {
   await deployment.control.get('evacuations').order({ dataCentre, isEvacuated, caller })
@@ -51,17 +51,17 @@
 
 /** The endpoint that the first attempt of a request was sent to, as its line tells. */
 function firstLine (id: string): Record<string, unknown> {
-  return deployment.story(id)[0] ?? {}
+  return deployment.logRecordsOf(id)[0] ?? {}
 }
 
-const lastOf = (id: string) => String(deployment.story(id).at(-1)?.['why'])
+const lastOf = (id: string) => String(deployment.logRecordsOf(id).at(-1)?.['why'])
 
 beforeAll(async () => {
   await deployment.start()
   for (const [index, standIn] of both.entries()) {
     const { incarnation, service, address } = standIn
     const dataCentre = `dc${index + 1}`
-    await deployment.control.get('registrar').hear({ incarnation, service, address, dataCentre, slots: 4, state: 'ready', sequence: 1, ageMs: 0 })
+    await deployment.control.get('registrar').receiveHeartbeat({ incarnation, service, address, dataCentre, slots: 4, state: 'ready', sequence: 1, ageMs: 0 })
   }
   await until('both endpoints', () => deployment.gateway.get('view').usable('app').length === 2)
   await deployment.configure(1)
@@ -69,19 +69,19 @@
 afterAll(async () => await deployment.stop())
 afterEach(async () => {
   vi.restoreAllMocks()
-  for (const standIn of both) standIn.behaviour = answerWell
+  for (const standIn of both) standIn.behaviour = answerOk
   for (const dataCentre of ['dc1', 'dc2']) await orderInForce(dataCentre, false)
 })
 
 /** Sends prompts until one has its home at an endpoint and is kept there; gives the header of that prompt. */
-async function promptKeptAt (standIn: StandIn): Promise<Record<string, string>> {
+async function promptKeptAt (standIn: StubEndpoint): Promise<Record<string, string>> {
   for (let subject = 0; subject < 100; subject += 1) {
     const shared = { id: `s${subject}`, tokens: 20_000 }
     const headers = { 'x-gullwall-prompt-parts': `${shared.id}:${shared.tokens},own:10` }
     const { endpoint, why } = firstLine((await call('/open/1', headers)).id)
     if (endpoint !== standIn.incarnation || why !== 'home of its prompt') continue
-    const { prefixes } = deployment.gateway.get('view').get(standIn.incarnation) ?? {}
-    await until('the prompt is kept', () => (prefixes?.copyableTokens([shared], performance.now()) ?? 0) > 0)
+    const { prefixCache } = deployment.gateway.get('view').get(standIn.incarnation) ?? {}
+    await until('the prompt is kept', () => (prefixCache?.copyableTokens([shared], performance.now()) ?? 0) > 0)
     return headers
   }
   throw new Error('no prompt has its home there')
@@ -90,13 +90,13 @@
 describe('an evacuated data centre', () => {
   it('gets nothing more, and has requests again once that is withdrawn', async () => {
     await orderInForce('dc1', true)
-    const before = near.arrived.length
+    const before = near.requestIds.length
     for (let turn = 0; turn < 10; turn += 1) expect((await call(`/look-up/${turn}`)).status).toBe(200)
-    expect(near.arrived.length).toBe(before)
+    expect(near.requestIds.length).toBe(before)
     await orderInForce('dc1', false)
     await until('a request', async () => {
       await call('/look-up/1')
-      return near.arrived.length > before
+      return near.requestIds.length > before
     })
   })
 
@@ -105,7 +105,7 @@
     await orderInForce('dc2', true)
     const moved = await call('/open/1', headers)
     expect(firstLine(moved.id)).toMatchObject({ endpoint: near.incarnation, why: 'home of its prompt' })
-    expect(near.headers[near.arrived.indexOf(moved.id)]?.['x-gullwall-prefix-source']).toBeUndefined()
+    expect(near.headers[near.requestIds.indexOf(moved.id)]?.['x-gullwall-prefix-source']).toBeUndefined()
   })
 
   it('ends its running streams in peace', async () => {
@@ -126,19 +126,19 @@
 
   it.each([['/look-up/1', 'a retry'], ['/draft/1', 'a resumption']])('gets neither %s again: %s', async (path) => {
     await orderInForce('dc2', true)
-    const before = far.arrived.length
+    const before = far.requestIds.length
     near.behaviour = (incoming, response) => {
       response.writeHead(200, { 'x-gullwall-request-id': String(incoming.headers['x-gullwall-request-id']), 'content-length': '999' })
       response.write('id: 1\ndata: 1\n\n', () => setImmediate(() => response.destroy()))
     }
     await call(path, {}, 'x').catch(() => {})
-    expect(far.arrived.length).toBe(before)
+    expect(far.requestIds.length).toBe(before)
   })
 
   it('gets a stream that broke elsewhere and waits for an endpoint when the order is withdrawn', async () => {
     let isWithdrawn = false
     vi.spyOn(places(), 'isEvacuated').mockImplementation((dataCentre) => dataCentre === 'dc2' && !isWithdrawn)
-    vi.spyOn(deployment.gateway.get('view'), 'changeWithin').mockImplementation(async () => { isWithdrawn = true })
+    vi.spyOn(deployment.gateway.get('view'), 'waitForChange').mockImplementation(async () => { isWithdrawn = true })
     const first = 'id: 1\ndata: 1\n\n'
     near.behaviour = (incoming, response) => {
       response.writeHead(200, { 'x-gullwall-request-id': String(incoming.headers['x-gullwall-request-id']) })
@@ -154,18 +154,18 @@
 
   it('does not get a request that was chosen for it before the order, nor is its endpoint blamed', async () => {
     const headers = await promptKeptAt(far)
-    const before = far.arrived.length
+    const before = far.requestIds.length
     const connections = deployment.gateway.get('connections')
-    const to = connections.to.bind(connections)
-    vi.spyOn(connections, 'to').mockImplementation((description, ...rest) => {
+    const to = connections.dispatcherFor.bind(connections)
+    vi.spyOn(connections, 'dispatcherFor').mockImplementation((description, ...rest) => {
       if (description.dataCentre === 'dc2') vi.spyOn(places(), 'isEvacuated').mockImplementation((dataCentre) => dataCentre === 'dc2')
       return to(description, ...rest)
     })
     const reply = await call('/order/1', headers, 'x')
     expect(reply.status).toBe(200)
-    expect(far.arrived.length).toBe(before)
-    expect(deployment.story(reply.id).map(({ decision }) => decision)).toEqual(['dispatch', 'retry', 'dispatch', 'finish'])
-    expect(deployment.story(reply.id)[1]?.['why']).toContain('not sent: data centre dc2 is evacuated')
+    expect(far.requestIds.length).toBe(before)
+    expect(deployment.logRecordsOf(reply.id).map(({ decision }) => decision)).toEqual(['dispatch', 'retry', 'dispatch', 'finish'])
+    expect(deployment.logRecordsOf(reply.id)[1]?.['why']).toContain('not sent: data centre dc2 is evacuated')
     expect(deployment.gateway.get('view').get(far.incarnation)?.unreachableShare).toBe(0)
   })
 
@@ -181,10 +181,10 @@
 
   it('does not draw away a call that waits elsewhere', async () => {
     await orderInForce('dc2', true)
-    const before = far.arrived.length
-    near.behaviour = (...args) => { setTimeout(() => answerWell(...args), 1100) }
+    const before = far.requestIds.length
+    near.behaviour = (...args) => { setTimeout(() => answerOk(...args), 1100) }
     expect(await call('/look-up/1')).toMatchObject({ status: 200 })
-    expect(far.arrived.length).toBe(before)
+    expect(far.requestIds.length).toBe(before)
   })
 })
 
@@ -208,7 +208,7 @@
 
 it('a gateway that starts during an evacuation knows of it before its first request', async () => {
   await orderInForce('dc2', true)
-  const before = far.arrived.length
+  const before = far.requestIds.length
   const fresh = createGateway(deployment.gateway.get('settings'), { write: () => {} })
   await fresh.start()
   const base = `http://${fresh.get('ingress').address}`
@@ -220,8 +220,8 @@
     })
     for (let turn = 0; turn < 10; turn += 1) await callAt(base, `/look-up/${turn}`)
     expect([200, 503]).toEqual(expect.arrayContaining([...statuses]))
-    expect(fresh.get('evacuatedPlaces').evacuated).toEqual(['dc2'])
-    expect(far.arrived.length).toBe(before)
+    expect(fresh.get('evacuatedDataCentres').evacuated).toEqual(['dc2'])
+    expect(far.requestIds.length).toBe(before)
   } finally {
     await fresh.stop()
   }
@@ -234,9 +234,9 @@
   await order('dc2', true)
   cut.mockRestore()
   await until('the order in force', () => places().isEvacuated('dc2'))
-  const before = far.arrived.length
+  const before = far.requestIds.length
   for (let turn = 0; turn < 5; turn += 1) await call(`/look-up/${turn}`)
-  expect(far.arrived.length).toBe(before)
+  expect(far.requestIds.length).toBe(before)
   const again = vi.spyOn(deployment.gateway.get('spreader'), 'receive').mockReturnValue(true)
   await order('dc2', false)
   await order('dc2', true)
--- a/entry/gateway/test/events.test.ts
+++ b/entry/gateway/test/event-splitter.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { EventCutter } from '@gullwall/entry.gateway'
+import { EventSplitter } from '@gullwall/entry.gateway'
 
 const SEED = Number(process.env['FUZZ_SEED'] ?? 11)
 
@@ -8,12 +8,12 @@
   it(`are the same however the bytes are cut (seed ${SEED})`, () => {
     const body = Buffer.from(Array.from({ length: 9 }, (_, id) => `id: ${id + 1}\ndata: ${'x'.repeat(id * 3)}\n\n`).join(''))
     fc.assert(fc.property(fc.array(fc.integer({ min: 1, max: 40 }), { minLength: 1 }), (sizes) => {
-      const cutter = new EventCutter()
+      const cutter = new EventSplitter()
       const passed: Buffer[] = []
       let lastId: string | undefined
       for (let offset = 0, turn = 0; offset < body.length; turn++) {
         const size = sizes[turn % sizes.length] ?? 1
-        const events = cutter.take(body.subarray(offset, offset + size))
+        const events = cutter.push(body.subarray(offset, offset + size))
         offset += size
         if (events === undefined) continue
         expect(events.bytes.subarray(-2).toString()).toBe('\n\n')
@@ -27,13 +27,13 @@
   })
 
   it('keep back what breaks off in the middle', () => {
-    const cutter = new EventCutter()
-    expect(cutter.take(Buffer.from('id: 1\ndata: a\n\nid: 2\nda'))?.lastId).toBe('1')
-    expect(cutter.take(Buffer.from('ta: b\n'))).toBeUndefined()
+    const cutter = new EventSplitter()
+    expect(cutter.push(Buffer.from('id: 1\ndata: a\n\nid: 2\nda'))?.lastId).toBe('1')
+    expect(cutter.push(Buffer.from('ta: b\n'))).toBeUndefined()
     expect(cutter.remainder().toString()).toBe('id: 2\ndata: b\n')
   })
 
   it('are found where lines end with carriage returns', () => {
-    expect(new EventCutter().take(Buffer.from('id: 4\r\ndata: a\r\n\r\n'))?.lastId).toBe('4')
+    expect(new EventSplitter().push(Buffer.from('id: 4\r\ndata: a\r\n\r\n'))?.lastId).toBe('4')
   })
 })
--- a/entry/gateway/test/exchange.test.ts
+++ b/entry/gateway/test/exchange.test.ts
@@ -9,7 +9,7 @@
   let handler: Dispatcher.DispatchHandler | undefined
   const dispatcher = { dispatch: (_options: unknown, its: Dispatcher.DispatchHandler) => { handler = its } } as unknown as Dispatcher
   const exchange = new Exchange(dispatcher, 'http://10.0.0.1:80', {
-    method: 'GET', path: '/', headers: [], body: undefined, connectMs: CONNECT_MS, whyNot: () => undefined, wasClosedWell: async () => true
+    method: 'GET', path: '/', headers: [], body: undefined, connectMs: CONNECT_MS, findRefusalReason: () => undefined, wasClosedCleanly: async () => true
   }, { onInterim: () => {}, onHead: () => true, onData: () => {} })
   const abort = vi.fn()
   return { exchange, abort, connected: () => handler?.onRequestStart?.({ abort } as unknown as Dispatcher.DispatchController, {}) }
@@ -34,6 +34,6 @@
     connected()
     expect(exchange.isSent).toBe(false)
     expect(abort).toHaveBeenCalledOnce()
-    expect(await exchange.ended).toEqual({ type: 'unsent', why: 'the connection was made too late' })
+    expect(await exchange.outcome).toEqual({ type: 'unsent', reason: 'the connection was made too late' })
   })
 })
--- a/entry/gateway/test/stand-in.ts
+++ b/entry/gateway/test/gateway-deployment.ts
@@ -16,27 +16,27 @@
 const REGIONS = { dc1: 'north', dc2: 'south', dc3: 'west' }
 
 /** Answers as the service that it stands for. */
-export const answerWell: Behaviour = (request, response, body) => {
+export const answerOk: Behaviour = (request, response, body) => {
   response.writeHead(200, { 'x-gullwall-request-id': String(request.headers['x-gullwall-request-id'] ?? '') })
   response.end(`${request.method} ${request.url} ${body}`)
 }
 
-export class StandIn {
+export class StubEndpoint {
   address = ''
   /** The ids of the requests that arrived. */
-  readonly arrived: string[] = []
+  readonly requestIds: string[] = []
   readonly headers: IncomingMessage['headers'][] = []
-  left = 0
+  disconnectCount = 0
   private readonly server: Server
 
-  constructor (readonly incarnation: string, readonly service: string, public behaviour: Behaviour = answerWell, readonly dataCentre = 'dc1') {
+  constructor (readonly incarnation: string, readonly service: string, public behaviour: Behaviour = answerOk, readonly dataCentre = 'dc1') {
     this.server = createServer((request, response) => {
       const chunks: Buffer[] = []
       request.on('data', (chunk: Buffer) => chunks.push(chunk))
       request.on('end', () => {
-        this.arrived.push(String(request.headers['x-gullwall-request-id']))
+        this.requestIds.push(String(request.headers['x-gullwall-request-id']))
         this.headers.push(request.headers)
-        response.on('close', () => { if (!response.writableFinished) this.left += 1 })
+        response.on('close', () => { if (!response.writableFinished) this.disconnectCount += 1 })
         this.behaviour(request, response, Buffer.concat(chunks).toString())
       })
     })
@@ -52,7 +52,7 @@
     this.server.closeAllConnections()
   }
 
-  get isUp (): boolean {
+  get isListening (): boolean {
     return this.server.listening
   }
 }
@@ -60,9 +60,9 @@
 export class GatewayDeployment {
   control!: Kernel<ControlServices>
   gateway!: Kernel<GatewayServices>
-  readonly lines: string[] = []
+  readonly logLines: string[] = []
 
-  constructor (private readonly standIns: readonly StandIn[], private readonly regions: Record<string, string> = REGIONS) {}
+  constructor (private readonly standIns: readonly StubEndpoint[], private readonly regions: Record<string, string> = REGIONS) {}
 
   async start (): Promise<void> {
     const [listen = ''] = await freeAddresses(1)
@@ -92,7 +92,7 @@
       retryWindowMs: 1000,
       retrySlack: 50,
       usageWindowMs: USAGE_WINDOW_MS
-    }, { write: (line) => this.lines.push(line) })
+    }, { write: (line) => this.logLines.push(line) })
     await this.control.start()
     for (const standIn of this.standIns) await standIn.start()
     await this.gateway.start()
@@ -101,14 +101,14 @@
   /** Has a document accepted and waits until it is in force. */
   async configure (version: number, limits: RegionLists = {}, service: object = {}): Promise<void> {
     await until('a leader', () => this.control.get('quorum').role === 'leader')
-    await this.control.get('documents').put(JSON.stringify(documentOf(version, limits, service)))
+    await this.control.get('documents').put(JSON.stringify(createDocument(version, limits, service)))
     await until('the document', () => this.gateway.get('view').table?.version === version)
-    await until('readiness', () => this.gateway.get('controlLinks').notReady() === undefined)
+    await until('readiness', () => this.gateway.get('controlLinks').findNotReadyReason() === undefined)
   }
 
-  async register (standIn: StandIn, state: 'ready' | 'draining' = 'ready', sequence = 1, coldMs?: number): Promise<void> {
+  async register (standIn: StubEndpoint, state: 'ready' | 'draining' = 'ready', sequence = 1, coldMs?: number): Promise<void> {
     const { incarnation, service, address, dataCentre } = standIn
-    await this.control.get('registrar').hear({
+    await this.control.get('registrar').receiveHeartbeat({
       incarnation, service, address, dataCentre, slots: 4, state, sequence, coldMs, ageMs: 0
     })
     const wanted = state === 'ready'
@@ -120,9 +120,9 @@
 
   /** Starts another gateway before the same endpoints; the test stops it. */
   async startGateway (box: string): Promise<Kernel<GatewayServices>> {
-    const gateway = createGateway({ ...this.gateway.get('settings'), box }, { write: (line) => this.lines.push(line) })
+    const gateway = createGateway({ ...this.gateway.get('settings'), box }, { write: (line) => this.logLines.push(line) })
     await gateway.start()
-    await until(`${box} is ready`, () => gateway.get('controlLinks').notReady() === undefined)
+    await until(`${box} is ready`, () => gateway.get('controlLinks').findNotReadyReason() === undefined)
     return gateway
   }
 
@@ -131,8 +131,8 @@
   }
 
   /** The log lines of one request. */
-  story (requestId: string): Array<Record<string, unknown>> {
-    return this.lines.map((line) => JSON.parse(line) as Record<string, unknown>).filter((record) => record['requestId'] === requestId)
+  logRecordsOf (requestId: string): Array<Record<string, unknown>> {
+    return this.logLines.map((line) => JSON.parse(line) as Record<string, unknown>).filter((record) => record['requestId'] === requestId)
   }
 
   async stop (): Promise<void> {
@@ -148,7 +148,7 @@
   organisation?: string[]
 }
 
-export function documentOf (version: number, limits: RegionLists = {}, service: object = {}): object {
+export function createDocument (version: number, limits: RegionLists = {}, service: object = {}): object {
   const common = {
     host: '127.0.0.1',
     timeoutMs: 1500,
--- a/entry/gateway/test/gateway.test.ts
+++ b/entry/gateway/test/gateway.test.ts
@@ -2,10 +2,10 @@
 import { type ServerResponse } from 'node:http'
 import { Client, request } from 'undici'
 import { until } from '@gullwall/bench.deployment'
-import { answerWell, GatewayDeployment, StandIn, type Behaviour } from './stand-in.ts'
+import { answerOk, GatewayDeployment, StubEndpoint, type Behaviour } from './gateway-deployment.ts'
 
-const first = new StandIn('i-first', 'app')
-const second = new StandIn('i-second', 'app')
+const first = new StubEndpoint('i-first', 'app')
+const second = new StubEndpoint('i-second', 'app')
 const both = [first, second]
 const deployment = new GatewayDeployment(both)
 
@@ -29,7 +29,7 @@
 }
 
 function arrivals (id: string): number {
-  return both.reduce((sum, standIn) => sum + standIn.arrived.filter((arrived) => arrived === id).length, 0)
+  return both.reduce((sum, standIn) => sum + standIn.requestIds.filter((arrived) => arrived === id).length, 0)
 }
 
 /** Whichever endpoint gets the first request behaves so; all later ones answer well. */
@@ -37,7 +37,7 @@
   let isFirst = true
   for (const standIn of both) {
     standIn.behaviour = (...args) => {
-      const chosen = isFirst ? behaviour : answerWell
+      const chosen = isFirst ? behaviour : answerOk
       isFirst = false
       chosen(...args)
     }
@@ -58,14 +58,14 @@
   await deployment.configure(1)
 })
 afterAll(async () => await deployment.stop())
-beforeEach(() => { for (const standIn of both) standIn.behaviour = answerWell })
+beforeEach(() => { for (const standIn of both) standIn.behaviour = answerOk })
 
 describe('a request through the gateway', () => {
   it('reaches the endpoint unchanged and names the incarnation, the organisation and the time that remains', async () => {
     const reply = await call('/order/5?x=%20y', { body: 'two wheels', headers: { 'x-gullwall-wait-ms': '900', 'x-other': 'Kept' } })
     expect(reply).toMatchObject({ status: 200, text: 'POST /order/5?x=%20y two wheels' })
-    const standIn = both.find(({ arrived }) => arrived.includes(reply.id))
-    const headers = standIn?.headers[standIn.arrived.indexOf(reply.id)] ?? {}
+    const standIn = both.find(({ requestIds }) => requestIds.includes(reply.id))
+    const headers = standIn?.headers[standIn.requestIds.indexOf(reply.id)] ?? {}
     expect(headers).toMatchObject({ 'x-gullwall-incarnation': standIn?.incarnation, 'x-gullwall-organisation': 'workshop', 'x-other': 'Kept' })
     expect(headers['authorization']).toBeUndefined()
     expect(Number(headers['x-gullwall-wait-ms'])).toBeGreaterThan(500)
@@ -85,7 +85,7 @@
     expect(reply.headers['retry-after']).toBeUndefined()
     expect(arrivals(reply.id)).toBe(1)
     expect(JSON.parse(reply.text)).toMatchObject({ error: { ran: 'unknown', requestId: reply.id } })
-    const story = deployment.story(reply.id)
+    const story = deployment.logRecordsOf(reply.id)
     expect(story.map((record) => record['decision'])).toEqual(['dispatch', 'fail'])
     expect(story[1]?.['why']).toContain('502')
     expect(story[1]?.['endpoint']).toBe(story[0]?.['endpoint'])
@@ -96,7 +96,7 @@
     const reply = await call('/look-up/7')
     expect(reply.status).toBe(200)
     expect(arrivals(reply.id)).toBe(2)
-    expect(deployment.story(reply.id).map((record) => record['decision'])).toContain('retry')
+    expect(deployment.logRecordsOf(reply.id).map((record) => record['decision'])).toContain('retry')
   })
 
   it('names another endpoint to copy the shared parts of its prompt from, once another entry has told that it keeps them', async () => {
@@ -106,14 +106,14 @@
     }]
     const holdings = [{ incarnation: first.incarnation, parts }]
     const gateway = deployment.gateway
-    gateway.get('workExchange').receive({ kind: 'workSums', whole: false, peers: 0, works, holdings })
+    gateway.get('loadExchange').receive({ kind: 'workSums', whole: false, peers: 0, works, holdings })
     await until('the parts are read', () => (
-      (gateway.get('view').get(first.incarnation)?.prefixes.copyableTokens(parts, performance.now()) ?? 0) > 0
+      (gateway.get('view').get(first.incarnation)?.prefixCache.copyableTokens(parts, performance.now()) ?? 0) > 0
     ))
     const reply = await call('/look-up/10', { headers: { 'x-gullwall-prompt-parts': 'subject:13000,own:3000' } })
     expect(reply.status).toBe(200)
-    expect(second.headers[second.arrived.indexOf(reply.id)]).toMatchObject({ 'x-gullwall-prefix-source': first.address })
-    expect(deployment.story(reply.id)[0]).toMatchObject({ copiedTokens: 13_000, source: first.incarnation })
+    expect(second.headers[second.requestIds.indexOf(reply.id)]).toMatchObject({ 'x-gullwall-prefix-source': first.address })
+    expect(deployment.logRecordsOf(reply.id)[0]).toMatchObject({ copiedTokens: 13_000, source: first.incarnation })
   })
 
   it('is refused at once, and never sent, where its prompt is larger than the memory of an engine', async () => {
@@ -121,7 +121,7 @@
     expect(reply.status).toBe(503)
     expect(reply.text).toContain('its prompt and a first token take 100001 tokens, and the memory of an engine holds 100000')
     expect(arrivals(reply.id)).toBe(0)
-    expect(deployment.story(reply.id)[0]).toMatchObject({ decision: 'refuse' })
+    expect(deployment.logRecordsOf(reply.id)[0]).toMatchObject({ decision: 'refuse' })
   })
 
   it('is refused with a time to come back where the endpoint did not run it and no attempt is left', async () => {
@@ -135,14 +135,14 @@
   })
 
   it('goes on where an endpoint has ended and another process has its address, also if it may be sent once only', async () => {
-    const ended = new StandIn('i-ended', 'app', (_incoming, response) => { response.writeHead(421).end() })
+    const ended = new StubEndpoint('i-ended', 'app', (_incoming, response) => { response.writeHead(421).end() })
     await ended.start()
     await deployment.register(ended)
     try {
       const replies = []
       for (let order = 0; order < 12; order++) replies.push(await call(`/order/${order}`, { body: 'x' }))
       expect(replies.map(({ status }) => status)).toEqual(replies.map(() => 200))
-      expect(ended.arrived.length).toBe(1)
+      expect(ended.requestIds.length).toBe(1)
     } finally {
       await deployment.register(ended, 'draining', 2)
       ended.stop()
@@ -191,12 +191,12 @@
 
   it('ends at its time, and the endpoint sees that its caller has left', async () => {
     for (const standIn of both) standIn.behaviour = () => {}
-    const before = first.left + second.left
+    const before = first.disconnectCount + second.disconnectCount
     const startedAt = performance.now()
     const reply = await call('/order/10', { body: 'x', headers: { 'x-gullwall-wait-ms': '250' } })
     expect(reply.status).toBe(504)
     expect(performance.now() - startedAt).toBeLessThan(1200)
-    await until('the endpoint to be left', () => first.left + second.left > before)
+    await until('the endpoint to be left', () => first.disconnectCount + second.disconnectCount > before)
   })
 })
 
@@ -212,7 +212,7 @@
     const reply = await call('/draft/1', { body: 'x' })
     expect(reply).toMatchObject({ status: 200, text: events(1, 6) })
     expect(reply.headers['x-run']).toBe('first')
-    expect(deployment.story(reply.id).map((record) => record['decision'])).toContain('resume')
+    expect(deployment.logRecordsOf(reply.id).map((record) => record['decision'])).toContain('resume')
   })
 
   it('is broken off, and not ended as if it were whole, where it may not be resumed', async () => {
@@ -223,7 +223,7 @@
       }
     }
     await expect(call('/scan/1', { body: 'x' })).rejects.toThrow()
-    const { requestId } = JSON.parse(deployment.lines.filter((line) => line.includes('"fail"')).at(-1) ?? '{}') as { requestId: string }
+    const { requestId } = JSON.parse(deployment.logLines.filter((line) => line.includes('"fail"')).at(-1) ?? '{}') as { requestId: string }
     expect(arrivals(requestId)).toBe(1)
   })
 
@@ -234,42 +234,42 @@
         response.write(events(1, 1))
       }
     }
-    const before = first.left + second.left
+    const before = first.disconnectCount + second.disconnectCount
     const reply = await request(deployment.url('/draft/2'), {
       method: 'POST', headers: { authorization: 'Bearer secret', 'x-gullwall-request-id': 'leaver' }, body: 'x'
     })
     reply.body.on('error', () => {})
     reply.body.once('data', () => reply.body.destroy())
-    await until('the endpoint to be left', () => first.left + second.left > before)
+    await until('the endpoint to be left', () => first.disconnectCount + second.disconnectCount > before)
   })
 })
 
 describe('endpoints', () => {
   it('that leave get no more, whatever arrives late', async () => {
     await deployment.register(second, 'draining', 5)
-    await deployment.control.get('registrar').hear({
+    await deployment.control.get('registrar').receiveHeartbeat({
       incarnation: second.incarnation, service: 'app', address: second.address, dataCentre: 'dc1', slots: 4, state: 'ready', sequence: 4, ageMs: 0
     })
-    const before = second.arrived.length
+    const before = second.requestIds.length
     for (let turn = 0; turn < 10; turn++) expect((await call(`/look-up/${turn}`)).status).toBe(200)
-    expect(second.arrived.length).toBe(before)
+    expect(second.requestIds.length).toBe(before)
   })
 })
 
 describe('what a gateway has learnt of a route', () => {
   it('is forgotten once the document has no such route', async () => {
     const { reserved } = deployment.gateway.get('view')
-    const before = reserved.knownRoutes
-    for (const route of ['dropped-1', 'dropped-2']) reserved.noteRequest({ route }, 100)
+    const before = reserved.routeCount
+    for (const route of ['dropped-1', 'dropped-2']) reserved.recordRequest({ route }, 100)
     await deployment.configure(2)
-    expect(reserved.knownRoutes).toBe(before)
+    expect(reserved.routeCount).toBe(before)
   })
 })
 
 describe('a planned stop', () => {
   it('finishes what is in flight and closes kept connections by asking', async () => {
     let release: (() => void) | undefined
-    first.behaviour = (incoming, response, body) => { release = () => answerWell(incoming, response, body) }
+    first.behaviour = (incoming, response, body) => { release = () => answerOk(incoming, response, body) }
     const inFlight = call('/order/20', { body: 'slow' })
     await until('the request to arrive', () => release !== undefined)
     const ingress = deployment.gateway.get('ingress')
@@ -282,7 +282,7 @@
     }
     const headers = { authorization: 'Bearer secret', 'x-gullwall-request-id': 'begun-before' }
     const streamed = await kept.request({ path: '/long/3', method: 'POST', headers, body: 'x' })
-    first.behaviour = answerWell
+    first.behaviour = answerOk
     const stopped = ingress.stop()
     expect(ingress.isStopping).toBe(true)
     release?.()
@@ -291,13 +291,13 @@
     expect(reply.headers['connection']).toBe('close')
     // The stream began before the stop: its connection is kept, and the next request on it comes late.
     await until('the listener to be closed', async () => await call('/look-up/21').then(() => false, () => true))
-    const before = first.arrived.length
+    const before = first.requestIds.length
     const late = kept.request({ path: '/look-up/22', method: 'GET', headers: { ...headers, 'x-gullwall-request-id': 'late' } })
       .then((answer) => answer.statusCode, () => 'closed unread')
     begun?.end(events(2, 2))
     expect(await streamed.body.text()).toBe(events(1, 2))
     expect([503, 'closed unread']).toContain(await late)
-    expect(first.arrived.length).toBe(before)
+    expect(first.requestIds.length).toBe(before)
     await kept.destroy()
     await stopped
   })
--- a/entry/gateway/test/limit-words.test.ts
+++ b/entry/gateway/test/limit-propagation.test.ts
@@ -11,12 +11,12 @@
 const [named] = engines
 const play = new LimitedDeployment(engines)
 
-const limitAt = (gateway: number) => play.gateways[gateway]?.get('limits').limitOf(named.incarnation)
+const limitAt = (gateway: number) => play.gateways[gateway]?.get('limits').limitPerSecond(named.incarnation)
 const isHeardAs = (perSecond: number | undefined) => play.gateways.every((_gateway, index) => limitAt(index) === perSecond)
 
 /** Has the endpoint name another limit, and sends until all have heard. */
 async function nowNames (perSecond: number | undefined): Promise<void> {
-  named.perSecond = perSecond
+  named.advertisedPerSecond = perSecond
   // What it got before a lower limit counts, so that its next answer may take a window.
   for (let tries = 0; !isHeardAs(perSecond) && tries < MOST_TRIES; tries += 1) {
     const replies = await play.sendFor(500, 30)
@@ -49,7 +49,7 @@
     const from = performance.now()
     await play.sendFor(3000, 30)
     expect(named.countSince(from)).toBeLessThanOrEqual(1)
-    named.perSecond = undefined
+    named.advertisedPerSecond = undefined
     const replies = play.sendFor(12_000, 30)
     await until('the end of the limit', () => isHeardAs(undefined))
     expect((await replies).filter(({ status }) => status !== 200)).toEqual([])
@@ -58,7 +58,7 @@
   it('is kept without control: nothing is sent there, and the others serve', async () => {
     await nowNames(5)
     const links = play.gateways.map((gateway) => gateway.get('controlLinks'))
-    for (const link of links) vi.spyOn(link, 'askGrants').mockRejectedValue(new Error('cut off'))
+    for (const link of links) vi.spyOn(link, 'requestGrants').mockRejectedValue(new Error('cut off'))
     await play.sendFor(500, 30)
     const from = performance.now()
     const replies = await play.sendFor(2000, 30)
@@ -73,7 +73,7 @@
 
   it('is not held to by control that grants without knowing of limits, so that nothing is sent under its grants', async () => {
     for (const gateway of play.gateways) {
-      vi.spyOn(gateway.get('controlLinks'), 'askGrants').mockImplementation(async (wishes) => (
+      vi.spyOn(gateway.get('controlLinks'), 'requestGrants').mockImplementation(async (wishes) => (
         wishes.map(({ incarnation, requests }) => ({ incarnation, requests, withinMs: 500 }))
       ))
     }
@@ -87,16 +87,16 @@
   it('tells in the log why a request went elsewhere, and in the status what is limited', async () => {
     await nowNames(0.2)
     await play.sendFor(1000, 30)
-    const lines = play.deployment.lines.map((line) => JSON.parse(line) as Record<string, unknown>)
+    const lines = play.deployment.logLines.map((line) => JSON.parse(line) as Record<string, unknown>)
     expect(lines.some(({ why }) => String(why).endsWith('; kept from 1 limited without a grant'))).toBe(true)
     expect(lines.some(({ event, endpoint }) => event === 'limited' && endpoint === named.incarnation)).toBe(true)
-    expect(play.gateways[1]?.get('limits').all()).toEqual([{ endpoint: named.incarnation, perSecond: 0.2 }])
+    expect(play.gateways[1]?.get('limits').limitedEndpoints()).toEqual([{ endpoint: named.incarnation, perSecond: 0.2 }])
   }, 40_000)
 
   it('ends with the life that named it', async () => {
     const { leases } = play.deployment.control.services
     const [lease] = leases.toWire([leases.get(named.incarnation)].filter((held) => held !== undefined))
-    if (lease !== undefined) await play.deployment.control.get('registrar').hear({ ...lease, sequence: lease.sequence + 1, state: 'gone', ageMs: 0 })
+    if (lease !== undefined) await play.deployment.control.get('registrar').receiveHeartbeat({ ...lease, sequence: lease.sequence + 1, state: 'gone', ageMs: 0 })
     await until('it is forgotten', () => isHeardAs(undefined))
   })
 })
--- a/entry/gateway/test/limited-alternative.test.ts
+++ b/entry/gateway/test/limited-alternative.test.ts
@@ -14,9 +14,9 @@
 it('a call that runs slowly is not given up for a limited endpoint without a grant', async () => {
   const { gateway, control } = play.deployment
   const now = performance.now()
-  control.get('registrar').hearLimits([{ incarnation: limited.incarnation, perSecond: 1, sentAgoMs: 0, heardAgoMs: 0 }])
-  gateway.get('view').leases.noteLimit(limited.incarnation, { perSecond: 1, sentAt: now, heardAt: now })
-  vi.spyOn(gateway.get('controlLinks'), 'askGrants').mockImplementation(async (wishes) => (
+  control.get('registrar').receiveLimits([{ incarnation: limited.incarnation, perSecond: 1, sentAgoMs: 0, heardAgoMs: 0 }])
+  gateway.get('view').leases.recordLimit(limited.incarnation, { perSecond: 1, sentAt: now, receivedAt: now })
+  vi.spyOn(gateway.get('controlLinks'), 'requestGrants').mockImplementation(async (wishes) => (
     wishes.map(({ incarnation }) => ({ incarnation, requests: 0, withinMs: 20, perSecond: 1 }))
   ))
   const replies = await play.sendFor(110, 20)
--- a/entry/gateway/test/limited-engines.ts
+++ b/entry/gateway/test/limited-engines.ts
@@ -3,7 +3,7 @@
 import { request } from 'undici'
 import { type GatewayServices } from '@gullwall/entry.gateway'
 import { type Kernel } from '@gullwall/core.kernel'
-import { answerWell, GatewayDeployment, StandIn, type Behaviour } from './stand-in.ts'
+import { answerOk, GatewayDeployment, StubEndpoint, type Behaviour } from './gateway-deployment.ts'
 
 const LIMIT_HEADER = 'x-gullwall-limit'
 export const WINDOW_MS = 4000
@@ -13,25 +13,25 @@
   status: number
   retryAfterS: number
   /** What a caller that is not served is told. */
-  why: string
+  message: string
 }
 
-export class LimitedEngine extends StandIn {
+export class LimitedEngine extends StubEndpoint {
   /** Requests a second that it names in its answers; none where it names none. */
-  perSecond: number | undefined
+  advertisedPerSecond: number | undefined
   readonly arrivals: number[] = []
 
   constructor (incarnation: string, private readonly runsMs: number) {
     super(incarnation, 'app')
     this.behaviour = (incoming, response, body) => {
       this.arrivals.push(performance.now())
-      if (this.perSecond !== undefined) response.setHeader(LIMIT_HEADER, String(this.perSecond))
+      if (this.advertisedPerSecond !== undefined) response.setHeader(LIMIT_HEADER, String(this.advertisedPerSecond))
       setTimeout(() => answer(incoming, response, body), this.runsMs)
     }
   }
 
   /** The most arrivals within any window that begins at `from` or later. */
-  busiest (from: number): number {
+  maxPerWindow (from: number): number {
     const counted = this.arrivals.filter((at) => at >= from)
     return Math.max(0, ...counted.map((start) => counted.filter((at) => at >= start && at < start + WINDOW_MS).length))
   }
@@ -43,7 +43,7 @@
 
 const answer: Behaviour = (incoming, response, body) => {
   if (!(incoming.url ?? '').startsWith('/draft/')) {
-    answerWell(incoming, response, body)
+    answerOk(incoming, response, body)
     return
   }
   response.writeHead(200, { 'content-type': 'text/event-stream', 'x-gullwall-request-id': String(incoming.headers['x-gullwall-request-id']) })
@@ -96,6 +96,6 @@
       method: 'POST', headers: { authorization: 'Bearer secret', 'x-gullwall-request-id': `request-${this.ids}` }, body: 'a sheet'
     })
     const text = await reply.body.text()
-    return { at, status: reply.statusCode, retryAfterS: Number(reply.headers['retry-after']), why: reply.statusCode === 200 ? '' : text }
+    return { at, status: reply.statusCode, retryAfterS: Number(reply.headers['retry-after']), message: reply.statusCode === 200 ? '' : text }
   }
 }
--- a/entry/gateway/test/work-exchange.test.ts
+++ b/entry/gateway/test/load-exchange.test.ts
@@ -1,18 +1,18 @@
 import { setImmediate as nextTurn } from 'node:timers/promises'
 import { describe, expect, it } from 'vitest'
 import { EndpointState } from '@gullwall/routing.balancer'
-import { type WorkWord } from '../src/control-links.ts'
+import { type EntryLoad } from '../src/control-links.ts'
 import { type GatewayServices } from '../src/index.ts'
-import { WorkExchange } from '../src/work-exchange.ts'
+import { LoadExchange } from '../src/load-exchange.ts'
 
-function exchangeWith (endpoint: EndpointState): { exchange: WorkExchange, told: WorkWord[] } {
-  const told: WorkWord[] = []
+function exchangeWith (endpoint: EndpointState): { exchange: LoadExchange, told: EntryLoad[] } {
+  const told: EntryLoad[] = []
   const services = {
     settings: { box: 'edge-1' },
     view: { busy: () => [endpoint], get: (incarnation: string) => incarnation === 'i' ? endpoint : undefined, wake: () => {} },
-    controlLinks: { tellWork: (word: WorkWord) => { told.push(word); return true } }
+    controlLinks: { reportLoad: (word: EntryLoad) => { told.push(word); return true } }
   } as unknown as GatewayServices
-  return { exchange: new WorkExchange(services), told }
+  return { exchange: new LoadExchange(services), told }
 }
 
 describe('the word of what an entry has under way', () => {
@@ -21,8 +21,8 @@
   it('goes out at once for a prompt that takes long to read, without any timer', async () => {
     const state = endpoint()
     const { exchange, told } = exchangeWith(state)
-    state.begin({ prompt: [], unreadTokens: 5000, urgency: 3, strain: 0, isSensitive: false }, performance.now())
-    exchange.noteSent(5000)
+    state.begin({ prompt: [], unreadTokens: 5000, urgency: 3, pauseSensitivity: 0, isPauseSensitive: false }, performance.now())
+    exchange.recordSent(5000)
     await nextTurn()
     expect(told).toMatchObject([{ works: [{ incarnation: 'i', unread: [{ urgency: 3, tokens: 5000 }], running: 1 }] }])
   })
@@ -30,9 +30,9 @@
   it.each(['unreachable', 'ended'] as const)('goes out at once for an endpoint that is %s', async (verdict) => {
     const state = endpoint()
     const { exchange, told } = exchangeWith(state)
-    const work = state.begin({ prompt: [], unreadTokens: 500, urgency: 3, strain: 0, isSensitive: false }, performance.now())
+    const work = state.begin({ prompt: [], unreadTokens: 500, urgency: 3, pauseSensitivity: 0, isPauseSensitive: false }, performance.now())
     state.end(work, verdict, performance.now())
-    exchange.noteUnreachable()
+    exchange.recordUnreachable()
     await nextTurn()
     expect(told).toMatchObject([{ works: [{ incarnation: 'i', running: 0, unreachable: 1 }] }])
   })
@@ -40,8 +40,8 @@
   it('waits for the next look for a short one', async () => {
     const state = endpoint()
     const { exchange, told } = exchangeWith(state)
-    state.begin({ prompt: [], unreadTokens: 500, urgency: 3, strain: 0, isSensitive: false }, performance.now())
-    exchange.noteSent(500)
+    state.begin({ prompt: [], unreadTokens: 500, urgency: 3, pauseSensitivity: 0, isPauseSensitive: false }, performance.now())
+    exchange.recordSent(500)
     await nextTurn()
     expect(told).toEqual([])
   })
@@ -49,23 +49,23 @@
   it('tells what was seen of how an engine reads once, and takes what control has learnt', async () => {
     const state = endpoint()
     const { exchange, told } = exchangeWith(state)
-    state.reading.sample(10_000, 0)
-    state.reading.notePause(320, -1)
-    exchange.noteUnreachable()
+    state.prefill.sample(10_000, 0)
+    state.prefill.recordPause(320, -1)
+    exchange.recordUnreachable()
     await nextTurn()
     expect(told[0]?.observations).toEqual([{ incarnation: 'i', pauses: [320], reads: [] }])
-    expect(state.reading.takeSeen()).toBeUndefined()
-    exchange.learn({ kind: 'readings', readings: [{ incarnation: 'i', tokensPerMs: 20, pauseMs: 330 }] })
-    expect(state.reading).toMatchObject({ tokensPerMs: 20, pauseMs: 330 })
+    expect(state.prefill.takeObservations()).toBeUndefined()
+    exchange.adoptReadings({ kind: 'readings', readings: [{ incarnation: 'i', tokensPerMs: 20, pauseMs: 330 }] })
+    expect(state.prefill).toMatchObject({ tokensPerMs: 20, pauseMs: 330 })
   })
 
   it('keeps a bounded number of holdings while nobody can be told', async () => {
     const state = endpoint()
     const { exchange, told } = exchangeWith(state)
     for (let sent = 0; sent < 1500; sent += 1) {
-      exchange.noteSending(state, [{ id: `subject-${sent}`, tokens: 13_000 }, { id: 'own', tokens: 10 }])
+      exchange.recordSending(state, [{ id: `subject-${sent}`, tokens: 13_000 }, { id: 'own', tokens: 10 }])
     }
-    exchange.noteUnreachable()
+    exchange.recordUnreachable()
     await nextTurn()
     expect(told[0]?.holdings).toHaveLength(1000)
     expect(told[0]?.holdings.at(-1)?.parts[0]?.id).toBe('subject-1499')
@@ -76,8 +76,8 @@
     const { exchange } = exchangeWith(state)
     const work = { incarnation: 'i', unread: [{ urgency: 3, tokens: 700 }], running: 5, strain: 1.5, sensitive: 0, unreachable: 0 }
     exchange.receive({ kind: 'workSums', whole: false, peers: 0, works: [work], holdings: [{ incarnation: 'i', parts: [{ id: 'subject', tokens: 9 }] }] })
-    expect([state.running, state.backlogTokens, state.strain]).toEqual([5, 700, 1.5])
-    expect(state.prefixes.cachedTokens([{ id: 'subject', tokens: 9 }])).toBe(9)
+    expect([state.running, state.backlogTokens, state.pauseSensitivity]).toEqual([5, 700, 1.5])
+    expect(state.prefixCache.cachedTokens([{ id: 'subject', tokens: 9 }])).toBe(9)
     exchange.receive({ kind: 'workSums', whole: false, peers: 0, works: [], holdings: [] })
     expect(state.running).toBe(5)
     exchange.receive({ kind: 'workSums', whole: true, peers: 0, works: [], holdings: [] })
--- a/entry/gateway/test/smaller-side.test.ts
+++ b/entry/gateway/test/minority-region.test.ts
@@ -6,7 +6,7 @@
 import { MemoryDisk } from '@gullwall/control.storage'
 import { type Kernel } from '@gullwall/core.kernel'
 import { createGateway, type GatewayServices } from '@gullwall/entry.gateway'
-import { documentOf, StandIn } from './stand-in.ts'
+import { createDocument, StubEndpoint } from './gateway-deployment.ts'
 
 const REGIONS = { n1: 'north', n2: 'north', n3: 'north', s1: 'south', s2: 'south', s3: 'south' }
 const CONTROLS = ['n1', 'n2', 'n3', 's1', 's2'] as const
@@ -16,8 +16,8 @@
 
 const controls = new Map<string, Kernel<ControlServices>>()
 const gateways: Array<Kernel<GatewayServices>> = []
-const engine = new StandIn('i-south', 'app', undefined, 's3')
-const another = new StandIn('i-south-2', 'app', undefined, 's1')
+const engine = new StubEndpoint('i-south', 'app', undefined, 's3')
+const another = new StubEndpoint('i-south-2', 'app', undefined, 's1')
 let seeds: string[] = []
 let sequence = 0
 
@@ -67,10 +67,10 @@
   return found
 }
 
-async function beat (standIn: StandIn, state: 'ready' | 'draining' = 'ready'): Promise<void> {
+async function beat (standIn: StubEndpoint, state: 'ready' | 'draining' = 'ready'): Promise<void> {
   const { incarnation, service, address, dataCentre } = standIn
   sequence += 1
-  await control('s1').get('registrar').hear({ incarnation, service, address, dataCentre, slots: 4, state, sequence, ageMs: 0 })
+  await control('s1').get('registrar').receiveHeartbeat({ incarnation, service, address, dataCentre, slots: 4, state, sequence, ageMs: 0 })
 }
 
 async function statusOf (gateway: Kernel<GatewayServices>): Promise<number> {
@@ -82,14 +82,14 @@
 async function put (version: number): Promise<void> {
   await until(`version ${version}`, async () => {
     for (const each of controls.values()) {
-      const taken = await each.get('documents').put(JSON.stringify(documentOf(version))).then(() => true, () => false)
+      const taken = await each.get('documents').put(JSON.stringify(createDocument(version))).then(() => true, () => false)
       if (taken) return true
     }
     return false
   })
 }
 
-const isUsable = (gateway: Kernel<GatewayServices>, { incarnation }: StandIn) => (
+const isUsable = (gateway: Kernel<GatewayServices>, { incarnation }: StubEndpoint) => (
   gateway.get('view').usable('app').some(({ description }) => description.incarnation === incarnation)
 )
 
@@ -116,13 +116,13 @@
     const tookMs = performance.now() - startedAt
     console.log(`useful after ${Math.round(tookMs)} ms`)
     expect(tookMs).toBeLessThan(USEFUL_MS)
-    await until('both are counted everywhere', () => gateways.every((gateway) => gateway.get('view').entries === 2))
+    await until('both are counted everywhere', () => gateways.every((gateway) => gateway.get('view').entryCount === 2))
   })
 
   it('listens to a control process of its region', async () => {
     for (const gateway of gateways) {
       // Until the links to its region are open it tells another process.
-      await until('it listens to the south', () => gateway.get('controlLinks').listened?.peer.dataCentre.startsWith('s') === true)
+      await until('it listens to the south', () => gateway.get('controlLinks').primaryLink?.peer.dataCentre.startsWith('s') === true)
     }
   })
 
@@ -135,13 +135,13 @@
     if (gateway === undefined) throw new Error('no gateway')
     await until('the links are closed', () => gateway.get('controlLinks').openCount === 2)
     for (const each of controls.values()) {
-      await expect(each.get('documents').put(JSON.stringify(documentOf(2)))).rejects.toMatchObject({ code: expect.stringMatching(/^ERR_GULLWALL_/) })
+      await expect(each.get('documents').put(JSON.stringify(createDocument(2)))).rejects.toMatchObject({ code: expect.stringMatching(/^ERR_GULLWALL_/) })
       await expect(each.get('documents').read()).rejects.toMatchObject({ code: expect.stringMatching(/^ERR_GULLWALL_/) })
     }
     expect(await statusOf(gateway)).toBe(200)
     expect(gateway.get('view').table?.version).toBe(1)
     expect(gateway.get('view').documentAgeMs).toBeGreaterThan(0)
-    expect(gateway.get('view').entries).toBe(2)
+    expect(gateway.get('view').entryCount).toBe(2)
   })
 
   it('still learns there of endpoints that come and that leave, though their leaving is not acknowledged', async () => {
--- a/entry/gateway/test/notices.test.ts
+++ b/entry/gateway/test/notices.test.ts
@@ -7,7 +7,7 @@
 import { type GatewayServices } from '@gullwall/entry.gateway'
 import { type Kernel } from '@gullwall/core.kernel'
 import { until } from '@gullwall/bench.deployment'
-import { answerWell, GatewayDeployment, StandIn, type Behaviour } from './stand-in.ts'
+import { answerOk, GatewayDeployment, StubEndpoint, type Behaviour } from './gateway-deployment.ts'
 
 interface Reply {
   id: string
@@ -21,8 +21,8 @@
 const PATIENCE_MS = 100
 const SPREAD_MS = 1000
 
-const engines = ['i-a', 'i-b', 'i-c'].map((incarnation) => new StandIn(incarnation, 'app'))
-const [a, b, c] = engines as [StandIn, StandIn, StandIn]
+const engines = ['i-a', 'i-b', 'i-c'].map((incarnation) => new StubEndpoint(incarnation, 'app'))
+const [a, b, c] = engines as [StubEndpoint, StubEndpoint, StubEndpoint]
 const deployment = new GatewayDeployment(engines)
 let ids = 0
 let starts = 0
@@ -51,15 +51,15 @@
 }
 
 const backoffs = () => deployment.gateway.get('notices').backoffs
-const restMs = ({ incarnation }: StandIn) => backoffs().remainingMs(incarnation)
+const restMs = ({ incarnation }: StubEndpoint) => backoffs().remainingMs(incarnation)
 
 /** Has endpoints ask for rest, as an answer to a request would. */
-function rest (ms: number, ...resting: StandIn[]): void {
-  for (const { incarnation } of resting) backoffs().note(incarnation, ms)
+function rest (ms: number, ...resting: StubEndpoint[]): void {
+  for (const { incarnation } of resting) backoffs().recordBackoff(incarnation, ms)
 }
 
 /** Gives the process at an address a new incarnation, of which nothing has been heard. */
-async function startAgain (standIn: StandIn): Promise<void> {
+async function startAgain (standIn: StubEndpoint): Promise<void> {
   starts += 1
   Object.assign(standIn, { incarnation: `${standIn.incarnation.slice(0, 3)}-${starts}` })
   await deployment.register(standIn)
@@ -74,7 +74,7 @@
 afterEach(async () => {
   if (isCutOff) return
   for (const engine of engines) {
-    engine.behaviour = answerWell
+    engine.behaviour = answerOk
     await startAgain(engine)
   }
 })
@@ -83,7 +83,7 @@
   it('whose patience ends sooner is refused at once, with the time of the first end, and truly has not run', async () => {
     rest(5000, a, b)
     rest(3000, c)
-    const before = engines.reduce((sum, { arrived }) => sum + arrived.length, 0)
+    const before = engines.reduce((sum, { requestIds }) => sum + requestIds.length, 0)
     for (const path of ['/look-up/1', '/order/1', '/draft/1', '/scan/1']) {
       const { status, retryAfterMs, text, tookMs, id } = await send(path)
       expect(status, path).toBe(503)
@@ -91,10 +91,10 @@
       expect(retryAfterMs).toBeGreaterThanOrEqual(restMs(c))
       expect(retryAfterMs).toBeLessThanOrEqual(3000 + SPREAD_MS)
       expect(tookMs).toBeLessThan(PATIENCE_MS)
-      expect(tellStory(deployment.lines.map((line) => JSON.parse(line) as LogLine), id).at(-1)).toMatchObject({ what: 'refuse' })
+      expect(tellStory(deployment.logLines.map((line) => JSON.parse(line) as LogLine), id).at(-1)).toMatchObject({ what: 'refuse' })
       expect(text).toContain('wants nothing for')
     }
-    expect(engines.reduce((sum, { arrived }) => sum + arrived.length, 0)).toBe(before)
+    expect(engines.reduce((sum, { requestIds }) => sum + requestIds.length, 0)).toBe(before)
   })
 
   it('whose patience lasts until the first end waits for it, and is served', async () => {
@@ -133,9 +133,9 @@
 
 describe('when a rest ends', () => {
   /** Holds every request until it is let go. */
-  function holding (standIn: StandIn): { open: () => number, letGo: () => void } {
+  function holding (standIn: StubEndpoint): { open: () => number, letGo: () => void } {
     const held: Array<() => void> = []
-    standIn.behaviour = (incoming, response, body) => { held.push(() => answerWell(incoming, response, body)) }
+    standIn.behaviour = (incoming, response, body) => { held.push(() => answerOk(incoming, response, body)) }
     return { open: () => held.length, letGo: () => { for (const go of held.splice(0)) go() } }
   }
 
@@ -145,7 +145,7 @@
     const order: string[] = []
     c.behaviour = (incoming, response, body) => {
       order.push(incoming.url ?? '')
-      answerWell(incoming, response, body)
+      answerOk(incoming, response, body)
     }
     const sending = ['/look-up/1', '/look-up/2', '/look-up/3', '/look-up/4'].map(async (path) => await send(path))
     await Promise.all(sending)
@@ -216,18 +216,18 @@
 
   it('ends with its life', async () => {
     const life = (born: number) => ({ incarnation: `e@${born}`, life: { name: 'e', born } })
-    const hear = async (born: number) => await deployment.control.get('registrar').hear({
+    const hear = async (born: number) => await deployment.control.get('registrar').receiveHeartbeat({
       ...life(born), service: 'app', address: c.address, dataCentre: 'dc1', slots: 4, state: 'ready', sequence: 1, ageMs: 0
     })
     rest(60_000, a, b)
     await hear(1000)
-    await until('the first life', () => deployment.gateway.get('view').takesWork('e@1000'))
+    await until('the first life', () => deployment.gateway.get('view').acceptsRequests('e@1000'))
     c.behaviour = asksFor('60')
     expect((await send()).status).toBe(503)
     expect(backoffs().remainingMs('e@1000')).toBeGreaterThan(50_000)
-    c.behaviour = answerWell
+    c.behaviour = answerOk
     await hear(2000)
-    await until('the second life', () => deployment.gateway.get('view').takesWork('e@2000'))
+    await until('the second life', () => deployment.gateway.get('view').acceptsRequests('e@2000'))
     expect((await send()).status).toBe(200)
   })
 
@@ -257,12 +257,12 @@
 
 describe('an endpoint that drains', () => {
   const drains = (how: (incoming: IncomingMessage, response: ServerResponse, body: string) => void): Behaviour => how
-  const isUsable = (gateway: Kernel<GatewayServices>, { incarnation }: StandIn) => gateway.get('view').takesWork(incarnation)
+  const isUsable = (gateway: Kernel<GatewayServices>, { incarnation }: StubEndpoint) => gateway.get('view').acceptsRequests(incarnation)
 
   it.each([
     ['a success', drains((incoming, response, body) => {
       response.setHeader('x-gullwall-draining', '1')
-      answerWell(incoming, response, body)
+      answerOk(incoming, response, body)
     })],
     ['a failure', drains((incoming, response) => {
       response.writeHead(500, headOf(incoming, { 'x-gullwall-draining': '1' }))
@@ -278,7 +278,7 @@
     })],
     ['an interim answer', drains((incoming, response, body) => {
       response.writeEarlyHints({ link: '</x>', 'x-gullwall-draining': '1' })
-      answerWell(incoming, response, body)
+      answerOk(incoming, response, body)
     })],
     ['an answer that breaks off', drains((incoming, response) => {
       response.writeHead(200, headOf(incoming, { 'x-gullwall-draining': '1', 'content-length': '100' }))
@@ -298,13 +298,13 @@
   it('is told of again to a control process that takes it to be ready', async () => {
     const { control, gateway } = deployment
     // The word was lost with a link; the next word of control shows that.
-    vi.spyOn(gateway.get('controlLinks'), 'tellDraining').mockImplementationOnce(() => {})
+    vi.spyOn(gateway.get('controlLinks'), 'reportDraining').mockImplementationOnce(() => {})
     const { incarnation, service, address, dataCentre } = a
     const description = { incarnation, service, address, dataCentre, slots: 4 }
-    gateway.get('notices').take(description, { status: 200, sentAt: performance.now(), notices: { isDraining: true, backOffMs: undefined } })
+    gateway.get('notices').apply(description, { status: 200, sentAt: performance.now(), notices: { isDraining: true, backoffMs: undefined } })
     const lease = control.get('leases').get(incarnation)
     expect(lease?.state).toBe('ready')
-    if (lease !== undefined) control.get('registrar').changed([lease])
+    if (lease !== undefined) control.get('registrar').publishChanges([lease])
     await until('control has heard', () => control.get('leases').get(incarnation)?.state === 'draining')
   })
 })
@@ -316,11 +316,11 @@
     rest(60_000, c)
     a.behaviour = (incoming, response, body) => {
       response.setHeader('x-gullwall-draining', '1')
-      answerWell(incoming, response, body)
+      answerOk(incoming, response, body)
     }
     b.behaviour = asksFor('30')
     for (let index = 0; index < 20; index += 1) await send()
-    expect([a, b].map(({ arrived }) => arrived.filter((id) => Number(id.split('-')[1]) > ids - 20).length)).toEqual([1, 1])
+    expect([a, b].map(({ requestIds }) => requestIds.filter((id) => Number(id.split('-')[1]) > ids - 20).length)).toEqual([1, 1])
     const metrics = await deployment.gateway.get('registry').metrics()
     expect(metrics).toMatch(/gullwall_draining_heard_total [1-9]/)
     expect(metrics).toMatch(/gullwall_unreadable_notices_total [1-9]/)
--- a/entry/gateway/test/held-request.test.ts
+++ b/entry/gateway/test/quarantined-request.test.ts
@@ -7,7 +7,7 @@
 import { type Kernel } from '@gullwall/core.kernel'
 import { until } from '@gullwall/bench.deployment'
 import { CrashingEngines } from './crashing-engines.ts'
-import { GatewayDeployment } from './stand-in.ts'
+import { GatewayDeployment } from './gateway-deployment.ts'
 
 const ENGINES = 6
 const CRASHING = 'a sheet that no engine survives'
@@ -35,7 +35,7 @@
 
 const here = () => deployment.gateway
 const heldCount = () => here().get('quarantine').size
-const linesOf = () => deployment.lines.map((line) => JSON.parse(line) as LogLine)
+const linesOf = () => deployment.logLines.map((line) => JSON.parse(line) as LogLine)
 const endedUnder = (body: string) => engines.crashes.filter((running) => running.includes(body)).length
 
 /** Sends a request until it is held. */
@@ -71,7 +71,7 @@
     await Promise.all(beside)
     expect(heldCount()).toBe(1)
     expect(engines.crashes.some((running) => running.length > 1)).toBe(true)
-    await until('all engines', () => engines.up === ENGINES)
+    await until('all engines', () => engines.upCount === ENGINES)
     for (const body of bodies) expect((await send(here(), body)).status, body).toBe(200)
   })
 
@@ -107,7 +107,7 @@
   })
 
   it('is stopped by a box that can tell no control process, by what this box saw', async () => {
-    await until('all engines', () => engines.up === ENGINES)
+    await until('all engines', () => engines.upCount === ENGINES)
     await deployment.control.stop()
     for (let arrival = 0; arrival < 12; arrival += 1) {
       await send(here(), ALSO_CRASHING)
--- a/entry/gateway/test/rest-asked-for.test.ts
+++ b/entry/gateway/test/requested-backoff.test.ts
@@ -7,7 +7,7 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { afterAll, beforeAll, describe, expect, it } from 'vitest'
 import { request } from 'undici'
-import { answerWell, GatewayDeployment, StandIn, type Behaviour } from './stand-in.ts'
+import { answerOk, GatewayDeployment, StubEndpoint, type Behaviour } from './gateway-deployment.ts'
 
 const REST_S = 2
 /** What was under way when the word came may still arrive for so long, in ms. */
@@ -18,7 +18,7 @@
 const SPACING_MS = 33
 const RUNS_MS = 100
 
-const engines = ['i-a', 'i-b', 'i-c'].map((incarnation) => new StandIn(incarnation, 'app'))
+const engines = ['i-a', 'i-b', 'i-c'].map((incarnation) => new StubEndpoint(incarnation, 'app'))
 const deployment = new GatewayDeployment(engines)
 let ids = 0
 
@@ -54,7 +54,7 @@
 
 const answerNow: Behaviour = (incoming, response, body) => {
   if (!/^\/(draft|scan)\//.test(incoming.url ?? '')) {
-    answerWell(incoming, response, body)
+    answerOk(incoming, response, body)
     return
   }
   response.writeHead(200, { 'content-type': 'text/event-stream', 'x-gullwall-request-id': String(incoming.headers['x-gullwall-request-id']) })
@@ -73,9 +73,9 @@
 
 describe('an endpoint that turns a request away and asks for rest', () => {
   it('gets no more than what was under way, until the time has passed', async () => {
-    const [resting] = engines as [StandIn]
+    const [resting] = engines as [StubEndpoint]
     await sendFor(500)
-    expect(resting.arrived.length).toBeGreaterThan(0)
+    expect(resting.requestIds.length).toBeGreaterThan(0)
     const arrivals: number[] = []
     let asked = 0
     resting.behaviour = (incoming, response) => {
@@ -97,7 +97,7 @@
 
 describe('an endpoint that says in an answer that it drains', () => {
   it('gets nothing that comes later, though its leases say that it is ready', async () => {
-    const [, draining] = engines as [StandIn, StandIn]
+    const [, draining] = engines as [StubEndpoint, StubEndpoint]
     // The first engine was tried after its rest, and has asked for another one; without both there is no room for all.
     await sleep(1000 * REST_S)
     let said = 0
@@ -109,7 +109,7 @@
       answers(incoming, response, body)
     }
     const statuses = await sendFor(1500)
-    await deployment.control.get('registrar').hear({
+    await deployment.control.get('registrar').receiveHeartbeat({
       incarnation: 'i-b', service: 'app', address: draining.address, dataCentre: 'dc1', slots: 4, state: 'ready', sequence: 2, ageMs: 0
     })
     statuses.push(...await sendFor(500))
--- a/entry/gateway/test/resumed-after-rest.test.ts
+++ b/entry/gateway/test/resumed-after-backoff.test.ts
@@ -3,15 +3,15 @@
 import { afterAll, beforeAll, expect, it } from 'vitest'
 import { request } from 'undici'
 import { until } from '@gullwall/bench.deployment'
-import { GatewayDeployment, StandIn, type Behaviour } from './stand-in.ts'
+import { GatewayDeployment, StubEndpoint, type Behaviour } from './gateway-deployment.ts'
 
 const REST_MS = 500
 /** A stream that goes on is answered after so long, in ms; slow start lets the others come then. */
 const ANSWERS_AFTER_MS = 150
 const STREAMS = 3
 
-const first = new StandIn('i-first', 'app')
-const second = new StandIn('i-second', 'app')
+const first = new StubEndpoint('i-first', 'app')
+const second = new StubEndpoint('i-second', 'app')
 const deployment = new GatewayDeployment([first, second])
 
 const text = (from: number, to: number) => Array.from({ length: to - from + 1 }, (_, place) => `id: ${from + place}\ndata: x\n\n`).join('')
@@ -51,7 +51,7 @@
   const sending = Array.from({ length: STREAMS }, async (_, index) => await send(`request-${index}`))
   await until('all have begun', () => begun.length === STREAMS)
   await deployment.register(second)
-  deployment.gateway.get('notices').backoffs.note(second.incarnation, REST_MS)
+  deployment.gateway.get('notices').backoffs.recordBackoff(second.incarnation, REST_MS)
   for (const response of begun) response.destroy()
   expect(await Promise.all(sending)).toEqual(Array.from({ length: STREAMS }, () => ({ status: 200, text: text(1, 4) })))
 })
--- a/entry/gateway/test/limit-together.test.ts
+++ b/entry/gateway/test/shared-limit.test.ts
@@ -1,10 +1,10 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
 import { silentLogger } from '@gullwall/core.logger'
-import { EndpointState, rankOf } from '@gullwall/routing.balancer'
-import { GRANT_LEASE_MS } from '../../../control/program/src/grant-duty.ts'
-import { GrantLedger, limitGrantBound, SPAN_MS, type GrantBound } from '../../../control/program/src/grant-ledger.ts'
+import { EndpointState, hashName } from '@gullwall/routing.balancer'
+import { GRANT_LEASE_MS } from '../../../control/program/src/leased-grant-ledger.ts'
+import { GrantLedger, createLimitGrantBound, COLD_ACCOUNTING_WINDOW_MS, type GrantBound } from '../../../control/program/src/grant-ledger.ts'
 import { EndpointLimits } from '../src/endpoint-limits.ts'
-import { GrantPurse } from '../src/grant-purse.ts'
+import { GrantPool } from '../src/grant-pool.ts'
 
 const WINDOW_MS = 4000
 const SECOND = 1000
@@ -29,7 +29,7 @@
   readonly sentBy = new Map<number, number>()
   asks = 0
   private draws = 0
-  private ledger: GrantLedger | undefined = new GrantLedger({ opensAt: -Infinity })
+  private ledger: GrantLedger | undefined = new GrantLedger({ startsAt: -Infinity })
   private readonly startedAt = performance.now()
   private readonly boxes: EndpointLimits[]
   private readonly endpoint = new EndpointState({
@@ -45,7 +45,9 @@
     let nextAt = 0
     for (let ms = 0; ms < seconds * SECOND; ms += TICK_MS) {
       if (ms === leaderEndsAtS * SECOND) this.ledger = undefined
-      if (ms === (leaderEndsAtS + 1) * SECOND) this.ledger = new GrantLedger({ opensAt: performance.now() + GRANT_LEASE_MS + SPAN_MS })
+      if (ms === (leaderEndsAtS + 1) * SECOND) {
+        this.ledger = new GrantLedger({ startsAt: performance.now() + GRANT_LEASE_MS + COLD_ACCOUNTING_WINDOW_MS })
+      }
       for (; nextAt <= ms; nextAt += -Math.log(1 - this.draw()) * SECOND / demand) void this.arrive(Math.floor(this.draw() * boxes))
       await vi.advanceTimersByTimeAsync(TICK_MS)
     }
@@ -62,24 +64,24 @@
   }
 
   private draw (): number {
-    return rankOf(`${SEED} ${this.draws++}`) / 2 ** 32
+    return hashName(`${SEED} ${this.draws++}`) / 2 ** 32
   }
 
   private newBox (box: string): EndpointLimits {
     const limits = new EndpointLimits({
       logger: silentLogger(),
       now: () => performance.now(),
-      purse: new GrantPurse(),
-      entries: () => this.play.boxes,
+      grantPool: new GrantPool(),
+      entryCount: () => this.play.boxes,
       wake: () => {},
       isCold: () => false,
-      onOver: () => {},
-      ask: async (wishes) => {
+      onLimitEnded: () => {},
+      requestGrants: async (wishes) => {
         this.asks += 1
         await this.pass(this.play.roundTripMs / 2)
         const { ledger } = this
         if (ledger === undefined) throw new Error('nobody leads')
-        const bounds = [limitGrantBound(this.play.perSecond) as GrantBound]
+        const bounds = [createLimitGrantBound(this.play.perSecond) as GrantBound]
         const grants = wishes.map(({ incarnation, requests, perSecond }) => (
           { ...ledger.grant({ incarnation, box, requests, bounds }, performance.now()), perSecond }
         ))
@@ -87,7 +89,7 @@
         return grants
       }
     })
-    limits.note({ incarnation: LIMITED, limit: { perSecond: this.play.perSecond, sentAt: 0, heardAt: 0 } })
+    limits.recordLimit({ incarnation: LIMITED, limit: { perSecond: this.play.perSecond, sentAt: 0, receivedAt: 0 } })
     return limits
   }
 
@@ -98,8 +100,8 @@
   private async arrive (index: number): Promise<void> {
     const box = this.boxes[index] as EndpointLimits
     if (box.waitMs(LIMITED) > 0) return
-    if (box.mustAsk(this.endpoint)) await box.askFor(this.endpoint)
-    if (box.take(LIMITED) === undefined) return
+    if (box.needsGrant(this.endpoint)) await box.requestGrant(this.endpoint)
+    if (box.takeGrant(LIMITED) === undefined) return
     this.sentAt.push(performance.now())
     this.sentBy.set(index, (this.sentBy.get(index) ?? 0) + 1)
   }
--- a/entry/gateway/test/usage-teller.test.ts
+++ b/entry/gateway/test/usage-tracker.test.ts
@@ -3,8 +3,8 @@
 import { until } from '@gullwall/bench.deployment'
 import { type Link } from '@gullwall/transport.link'
 import { type Message, type UsageWindow } from '@gullwall/transport.messages'
-import { UsageTeller } from '../src/usage-teller.ts'
-import { answerWell, GatewayDeployment, StandIn, USAGE_WINDOW_MS, type Behaviour } from './stand-in.ts'
+import { UsageTracker } from '../src/usage-tracker.ts'
+import { answerOk, GatewayDeployment, StubEndpoint, USAGE_WINDOW_MS, type Behaviour } from './gateway-deployment.ts'
 
 const TELL_MS = 1000
 
@@ -30,24 +30,24 @@
   it('is told again as a whole where another control process is told, and once more before the end', () => {
     const links = [new FakeLink(), new FakeLink()]
     let listened: Link | undefined = links[0]?.asLink
-    const controlLinks = { get listened () { return listened } }
-    const teller = new UsageTeller({ settings: { usageWindowMs: USAGE_WINDOW_MS }, controlLinks } as never)
+    const controlLinks = { get primaryLink () { return listened } }
+    const teller = new UsageTracker({ settings: { usageWindowMs: USAGE_WINDOW_MS }, controlLinks } as never)
     teller.start()
-    teller.noteBegun('a', performance.now())
+    teller.recordBegun('a', performance.now())
     vi.advanceTimersByTime(TELL_MS)
     vi.advanceTimersByTime(TELL_MS)
     expect(links[0]?.told).toMatchObject([[{ counts: [{ organisation: 'a', begun: 1 }] }]])
     listened = links[1]?.asLink
     vi.advanceTimersByTime(TELL_MS)
     expect(links[1]?.told).toMatchObject([[{ counts: [{ organisation: 'a', begun: 1 }] }]])
-    teller.noteBegun('a', performance.now())
+    teller.recordBegun('a', performance.now())
     teller.stop()
     expect(links[1]?.told.at(-1)).toMatchObject([{ counts: [{ organisation: 'a', begun: 2 }] }])
   })
 })
 
 describe('requests that count as begun', () => {
-  const standIn = new StandIn('i-only', 'app')
+  const standIn = new StubEndpoint('i-only', 'app')
   const deployment = new GatewayDeployment([standIn])
   let ids = 0
 
@@ -66,7 +66,7 @@
   }
 
   function counted (): number {
-    const parts = deployment.control.get('usageReporter').partsOf(Math.floor(Date.now() / USAGE_WINDOW_MS))
+    const parts = deployment.control.get('usageReporter').getUsageParts(Math.floor(Date.now() / USAGE_WINDOW_MS))
     return parts.sources.flatMap(({ counts }) => counts).reduce((sum, { begun }) => sum + begun, 0)
   }
 
@@ -79,7 +79,7 @@
   }
 
   it('are those that an endpoint ran, each once: calls when they were sent, streams with their first event', async () => {
-    await call('/look-up/1', answerWell)
+    await call('/look-up/1', answerOk)
     await call('/scan/1', stream)
     await call('/order/1', notRun)
     await until('the counts', () => counted() >= 2)
--- a/entry/program/src/admin.ts
+++ b/entry/program/src/admin.ts
@@ -40,7 +40,7 @@
       dataCentre: settings.dataCentre,
       revision: store.revision,
       links: sidecars.linkCount,
-      queued: Object.fromEntries(dispatcher.queuedByClass()),
+      queued: Object.fromEntries(dispatcher.countQueuedByClass()),
       classes: Object.fromEntries(metrics.byClass),
       endpoints: [...dispatcher.directory.all()].map((view) => ({
         ...view.load, box: view.sidecar.name, serves: view.description.serves, health: dispatcher.health.state(view.description.name)
--- a/entry/program/src/index.ts
+++ b/entry/program/src/index.ts
@@ -62,7 +62,7 @@
     maxQueued: settings.maxQueued,
     bindEarly: settings.policy === 'late-binding' ? undefined : createBaseline(settings.policy)
   })
-  store.onChange(() => dispatcher.recordsChanged())
+  store.onChange(() => dispatcher.handleRecordsChange())
   return dispatcher
 }
 
--- a/entry/program/src/sidecar-links.ts
+++ b/entry/program/src/sidecar-links.ts
@@ -104,7 +104,7 @@
     switch (message.kind) {
       case 'endpoints': dispatcher.setEndpoints(port, message.endpoints, message.leaving); break
       case 'load': dispatcher.updateLoad(port, message.endpoints); break
-      case 'offer': dispatcher.takeOffer(port, message); break
+      case 'offer': dispatcher.handleOffer(port, message); break
     }
   }
 
--- a/entry/server/src/api.ts
+++ b/entry/server/src/api.ts
@@ -6,10 +6,10 @@
 import { type Logger } from '@gullwall/core.logger'
 import { type RecordMap } from '@gullwall/config.records'
 import { type ControlClient } from '@gullwall/control.client'
-import { endToEndHeaders } from '@gullwall/endpoint.http'
+import { selectEndToEndHeaders } from '@gullwall/endpoint.http'
 import { chatRequestSchema, CHAT_PATH, isResumable, type ChatRequest } from '@gullwall/endpoint.openai'
 import { CallerResponse, errorBody, RequestRun, type CallerError, type RequestToRun, type RunResult, type RunServices } from '@gullwall/entry.answers'
-import { fingerprintOf } from '@gullwall/routing.quarantine'
+import { computeFingerprint } from '@gullwall/routing.quarantine'
 import { type OrganisationLimits } from '@gullwall/routing.limits'
 import { withoutOwnHeaders } from '@gullwall/transport.attempt'
 import { Koa, Router } from '@gullwall/transport.http-server'
@@ -134,7 +134,7 @@
   }
 
   private known (wanted: Wanted): Either<CallerError, Wanted> {
-    const served = this.options.run.dispatcher.directory.served().has(wanted.serves)
+    const served = this.options.run.dispatcher.directory.listServed().has(wanted.serves)
     if (served || (wanted.kind === 'engine' && this.options.records.has(`model/${wanted.serves}`))) return Right(wanted)
     const what = wanted.kind === 'engine' ? 'model' : 'service'
     return Left(refusal(404, `${what}_not_found`, `the ${what} ${wanted.serves} does not exist`))
@@ -218,8 +218,10 @@
       maxWaitMs: caller.class.maxWaitMs,
       late: caller.class.late,
       selectors,
-      avoid: new Set(),
-      fingerprint: fingerprintOf({ organisation: caller.organisationName, method: context.method, path: wanted.path, body: wanted.body }),
+      avoidedEndpoints: new Set(),
+      fingerprint: computeFingerprint({
+        organisation: caller.organisationName, method: context.method, path: wanted.path, body: wanted.body
+      }),
       repeatable: caller.repeatable,
       stream: wanted.stream,
       resumable: wanted.resumable,
@@ -265,7 +267,7 @@
 }
 
 function endpointHeaders (context: Context, wanted: Wanted): Record<string, string | string[]> {
-  const headers = withoutOwnHeaders(endToEndHeaders(context.headers))
+  const headers = withoutOwnHeaders(selectEndToEndHeaders(context.headers))
   const kept = Object.fromEntries(Object.entries(headers).filter(([name]) => !KEPT_BACK.has(name)))
   if (wanted.body.length > 0) kept['content-length'] = String(wanted.body.length)
   return kept
--- a/entry/server/src/metrics.ts
+++ b/entry/server/src/metrics.ts
@@ -31,7 +31,7 @@
       registers: [registry],
       collect () {
         queued.reset()
-        for (const [name, count] of dispatcher.queuedByClass()) queued.set({ class: name }, count)
+        for (const [name, count] of dispatcher.countQueuedByClass()) queued.set({ class: name }, count)
       }
     })
   }
--- a/routing/backoff/src/backoff-table.ts
+++ b/routing/backoff/src/backoff-table.ts
@@ -1,16 +1,16 @@
 /** The endpoints that asked one process to be left alone. Each process keeps what it was asked itself: the word is meant for it. */
 import { type EndpointRecord } from '@gullwall/core.logger'
-import { Backoff, IDLE_MS, OPEN_PERMIT, type Permit } from './backoff.ts'
+import { Backoff, IDLE_RESET_MS, UNRESTRICTED_PERMIT, type BackoffPermit } from './backoff.ts'
 
 /** So many endpoints are remembered at most, more than one process reaches in the largest deployment (12,000); the oldest gives way. */
 const MAX_ENDPOINTS = 16_384
 const MS_PER_SECOND = 1000
 
 /** The time for which an endpoint is left alone has begun, or is over. */
-export type BackoffTurn = { event: 'began', ms: number } | { event: 'ended' }
+export type BackoffTransition = { event: 'began', ms: number } | { event: 'ended' }
 
 /** The log line of a turn. */
-export function recordOfTurn (endpoint: string, turn: BackoffTurn): EndpointRecord {
+export function createTransitionRecord (endpoint: string, turn: BackoffTransition): EndpointRecord {
   return turn.event === 'began'
     ? { channel: 'endpoint', event: 'backs-off', endpoint, why: `it wants nothing for ${Math.round(turn.ms)} ms` }
     : { channel: 'endpoint', event: 'back', endpoint, why: 'its time is over; slow start' }
@@ -18,15 +18,15 @@
 
 export interface BackoffTableOptions {
   /** The time of one endpoint is over, or it takes more: requests that wait look again. */
-  onRoom: () => void
+  onPermitsAvailable: () => void
   /** Told when an endpoint first asks, and when its time is over. */
-  onTurn?: (endpoint: string, turn: BackoffTurn) => void
+  onTransition?: (endpoint: string, turn: BackoffTransition) => void
   now?: () => number
 }
 
 export class BackoffTable {
   /** How often endpoints asked, since the start. */
-  asked = 0
+  requestedCount = 0
   private readonly backoffs = new Map<string, Backoff>()
   private readonly timers = new Map<string, NodeJS.Timeout>()
   private readonly now: () => number
@@ -45,7 +45,7 @@
   }
 
   /** The endpoints that are left alone now, with what is left of their time in ms. */
-  resting (): Array<{ endpoint: string, leftMs: number }> {
+  listActive (): Array<{ endpoint: string, leftMs: number }> {
     const now = this.now()
     return [...this.backoffs].flatMap(([endpoint, backoff]) => {
       const leftMs = backoff.remainingMs(now)
@@ -54,12 +54,12 @@
   }
 
   /** Takes word of an endpoint that wants nothing more for so long, in ms. */
-  note (endpoint: string, ms: number): void {
+  recordBackoff (endpoint: string, ms: number): void {
     if (ms <= 0) return
-    this.asked += 1
+    this.requestedCount += 1
     const backoff = this.backoffs.get(endpoint) ?? this.add(endpoint)
     const now = this.now()
-    if (backoff.extend(ms, now)) this.options.onTurn?.(endpoint, { event: 'began', ms })
+    if (backoff.extend(ms, now)) this.options.onTransition?.(endpoint, { event: 'began', ms })
     this.lookIn(endpoint, backoff.remainingMs(now))
   }
 
@@ -70,14 +70,14 @@
   }
 
   /** How many requests may be sent to an endpoint now; no bound where it asked for nothing. */
-  room (endpoint: string): number {
+  availablePermits (endpoint: string): number {
     if (this.backoffs.size === 0) return Infinity
-    return this.backoffs.get(endpoint)?.room(this.now()) ?? Infinity
+    return this.backoffs.get(endpoint)?.availablePermits(this.now()) ?? Infinity
   }
 
   /** Why an endpoint gets nothing now; undefined if it does. */
-  whyNot (endpoint: string): string | undefined {
-    if (this.room(endpoint) > 0) return undefined
+  findBlockReason (endpoint: string): string | undefined {
+    if (this.availablePermits(endpoint) > 0) return undefined
     const leftMs = this.remainingMs(endpoint)
     return leftMs > 0
       ? `${endpoint} wants nothing for ${(leftMs / MS_PER_SECOND).toFixed(1)} s more`
@@ -85,17 +85,17 @@
   }
 
   /** Takes leave for one request that is sent now; undefined if there is none. The caller must release it in the end. */
-  acquire (endpoint: string): Permit | undefined {
+  acquire (endpoint: string): BackoffPermit | undefined {
     const backoff = this.backoffs.get(endpoint)
-    if (backoff === undefined) return OPEN_PERMIT
+    if (backoff === undefined) return UNRESTRICTED_PERMIT
     const permit = backoff.acquire(this.now())
     if (permit === undefined) return undefined
     const settled = (settle: () => void) => () => {
       settle()
       this.lookAt(endpoint, backoff)
-      this.options.onRoom()
+      this.options.onPermitsAvailable()
     }
-    return { answered: settled(permit.answered), released: settled(permit.released) }
+    return { recordResponse: settled(permit.recordResponse), release: settled(permit.release) }
   }
 
   /** Forgets what an endpoint asked for, since it has ended. */
@@ -133,14 +133,14 @@
     }
     this.lookAt(endpoint, backoff)
     if (!this.backoffs.has(endpoint)) return
-    this.lookIn(endpoint, IDLE_MS)
-    if (backoff.hasEnded) return
-    backoff.hasEnded = true
-    this.options.onTurn?.(endpoint, { event: 'ended' })
-    this.options.onRoom()
+    this.lookIn(endpoint, IDLE_RESET_MS)
+    if (backoff.isEndReported) return
+    backoff.isEndReported = true
+    this.options.onTransition?.(endpoint, { event: 'ended' })
+    this.options.onPermitsAvailable()
   }
 
   private lookAt (endpoint: string, backoff: Backoff): void {
-    if (this.backoffs.get(endpoint) === backoff && backoff.isOver(this.now())) this.forget(endpoint)
+    if (this.backoffs.get(endpoint) === backoff && backoff.isFinished(this.now())) this.forget(endpoint)
   }
 }
--- a/routing/backoff/src/backoff.ts
+++ b/routing/backoff/src/backoff.ts
@@ -9,32 +9,32 @@
 /** From this window on all may come: the endpoint has taken 1, 2, 4 and 8 at a time. */
 const LAST_WINDOW = 16
 /** An endpoint that nobody tried for so long after its rest is like any other, in ms: what had piled up has come or gone. */
-export const IDLE_MS = 10_000
+export const IDLE_RESET_MS = 10_000
 
 /** Leave for one request. */
-export interface Permit {
+export interface BackoffPermit {
   /** The endpoint has begun to answer it, and did not turn it away. */
-  answered: () => void
+  recordResponse: () => void
   /** The attempt has ended, in whatever way. */
-  released: () => void
+  release: () => void
 }
 
 /** Leave for a request at an endpoint that has asked for nothing. */
-export const OPEN_PERMIT: Permit = { answered: () => {}, released: () => {} }
+export const UNRESTRICTED_PERMIT: BackoffPermit = { recordResponse: () => {}, release: () => {} }
 
 export class Backoff {
   /** When the time is over, by the monotonic clock. */
-  until = -Infinity
+  endsAt = -Infinity
   /** Whether the end of its time has been told. */
-  hasEnded = false
+  isEndReported = false
   private window = FIRST_WINDOW
-  private readonly unanswered = new Set<Permit>()
+  private readonly unanswered = new Set<BackoffPermit>()
 
   /** Takes what the endpoint asks for; a shorter time does not take back a longer one. Gives whether it had not asked before. */
   extend (ms: number, now: number): boolean {
-    const isNew = now >= this.until
-    this.until = Math.max(this.until, now + ms)
-    this.hasEnded = false
+    const isNew = now >= this.endsAt
+    this.endsAt = Math.max(this.endsAt, now + ms)
+    this.isEndReported = false
     this.window = FIRST_WINDOW
     // What was under way when it asked tells nothing of the time after its rest.
     this.unanswered.clear()
@@ -42,28 +42,28 @@
   }
 
   remainingMs (now: number): number {
-    return Math.max(0, this.until - now)
+    return Math.max(0, this.endsAt - now)
   }
 
   /** How many requests may be sent now. */
-  room (now: number): number {
-    return now < this.until ? 0 : Math.max(0, this.window - this.unanswered.size)
+  availablePermits (now: number): number {
+    return now < this.endsAt ? 0 : Math.max(0, this.window - this.unanswered.size)
   }
 
   /** Whether all may come again. */
-  isOver (now: number): boolean {
-    if (now < this.until) return false
-    return this.window >= LAST_WINDOW || (this.unanswered.size === 0 && now - this.until >= IDLE_MS)
+  isFinished (now: number): boolean {
+    if (now < this.endsAt) return false
+    return this.window >= LAST_WINDOW || (this.unanswered.size === 0 && now - this.endsAt >= IDLE_RESET_MS)
   }
 
   /** Gives leave for one request, if there is room. */
-  acquire (now: number): Permit | undefined {
-    if (this.room(now) === 0) return undefined
-    const permit: Permit = {
-      answered: () => {
+  acquire (now: number): BackoffPermit | undefined {
+    if (this.availablePermits(now) === 0) return undefined
+    const permit: BackoffPermit = {
+      recordResponse: () => {
         if (this.unanswered.delete(permit)) this.window = Math.min(LAST_WINDOW, 2 * this.window)
       },
-      released: () => { this.unanswered.delete(permit) }
+      release: () => { this.unanswered.delete(permit) }
     }
     this.unanswered.add(permit)
     return permit
--- a/routing/backoff/test/backoff-table.test.ts
+++ b/routing/backoff/test/backoff-table.test.ts
@@ -1,7 +1,7 @@
 /** Endpoints that asked to be left alone, and the slow start after it. */
 import fc from 'fast-check'
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
-import { BackoffTable, OPEN_PERMIT, type Permit } from '../src/index.ts'
+import { BackoffTable, UNRESTRICTED_PERMIT, type BackoffPermit } from '../src/index.ts'
 
 interface Turn {
   endpoint: string
@@ -16,7 +16,9 @@
   vi.useFakeTimers({ toFake: ['setTimeout', 'clearTimeout', 'performance'] })
   turns.length = 0
   rooms = 0
-  table = new BackoffTable({ onRoom: () => { rooms += 1 }, onTurn: (endpoint, { event }) => turns.push({ endpoint, event }) })
+  table = new BackoffTable(
+    { onPermitsAvailable: () => { rooms += 1 }, onTransition: (endpoint, { event }) => turns.push({ endpoint, event }) }
+  )
 })
 afterEach(() => {
   table.stop()
@@ -24,64 +26,64 @@
 })
 
 /** Takes as many permits as there are. */
-function acquireAll (): Permit[] {
-  const permits: Permit[] = []
+function acquireAll (): BackoffPermit[] {
+  const permits: BackoffPermit[] = []
   for (let permit = table.acquire('a'); permit !== undefined && permits.length < 100; permit = table.acquire('a')) permits.push(permit)
   return permits
 }
 
 describe('an endpoint that asked to be left alone', () => {
   it('gets nothing until its time has passed, and is told of once', () => {
-    table.note('a', 3000)
-    table.note('a', 1000)
+    table.recordBackoff('a', 3000)
+    table.recordBackoff('a', 1000)
     vi.advanceTimersByTime(2900)
-    expect({ left: table.remainingMs('a'), room: table.room('a'), permit: table.acquire('a') }).toEqual({ left: 100, room: 0, permit: undefined })
-    expect(table.whyNot('a')).toBe('a wants nothing for 0.1 s more')
-    expect({ room: table.room('b'), permit: table.acquire('b') }).toEqual({ room: Infinity, permit: OPEN_PERMIT })
+    expect({ left: table.remainingMs('a'), room: table.availablePermits('a'), permit: table.acquire('a') }).toEqual({ left: 100, room: 0, permit: undefined })
+    expect(table.findBlockReason('a')).toBe('a wants nothing for 0.1 s more')
+    expect({ room: table.availablePermits('b'), permit: table.acquire('b') }).toEqual({ room: Infinity, permit: UNRESTRICTED_PERMIT })
     vi.advanceTimersByTime(110)
-    expect({ left: table.remainingMs('a'), room: table.room('a') }).toEqual({ left: 0, room: 1 })
+    expect({ left: table.remainingMs('a'), room: table.availablePermits('a') }).toEqual({ left: 0, room: 1 })
     expect(turns).toEqual([{ endpoint: 'a', event: 'began' }, { endpoint: 'a', event: 'ended' }])
     expect(rooms).toBe(1)
   })
 
   it('is not left alone for 0 s', () => {
-    table.note('a', 0)
-    expect({ size: table.size, room: table.room('a') }).toEqual({ size: 0, room: Infinity })
+    table.recordBackoff('a', 0)
+    expect({ size: table.size, room: table.availablePermits('a') }).toEqual({ size: 0, room: Infinity })
   })
 
   it('comes back by 1, 2, 4 and 8 at a time, and then takes all', () => {
-    table.note('a', 1000)
+    table.recordBackoff('a', 1000)
     vi.advanceTimersByTime(1001)
     const windows = []
     while (table.size > 0) {
       const permits = acquireAll()
       windows.push(permits.length)
-      permits.forEach(({ answered, released }, index) => {
-        if (index === 0) answered()
-        released()
+      permits.forEach(({ recordResponse, release }, index) => {
+        if (index === 0) recordResponse()
+        release()
       })
     }
     expect(windows).toEqual([1, 2, 4, 8])
-    expect(table.acquire('a')).toBe(OPEN_PERMIT)
+    expect(table.acquire('a')).toBe(UNRESTRICTED_PERMIT)
   })
 
   it('is tried by one again where an attempt ended without an answer', () => {
-    table.note('a', 1000)
+    table.recordBackoff('a', 1000)
     vi.advanceTimersByTime(1001)
     expect(acquireAll()).toHaveLength(1)
-    expect(table.whyNot('a')).toBe('a comes back from a rest, and is being tried')
+    expect(table.findBlockReason('a')).toBe('a comes back from a rest, and is being tried')
     expect(acquireAll()).toHaveLength(0)
-    table.note('a', 500)
+    table.recordBackoff('a', 500)
     vi.advanceTimersByTime(501)
     const [permit] = acquireAll()
-    permit?.released()
+    permit?.release()
     expect(acquireAll()).toHaveLength(1)
   })
 
   it('that asks again while it comes back is told of when that time is over, and not later', () => {
-    table.note('a', 1000)
+    table.recordBackoff('a', 1000)
     vi.advanceTimersByTime(1001)
-    table.note('a', 500)
+    table.recordBackoff('a', 500)
     rooms = 0
     vi.advanceTimersByTime(502)
     expect(rooms).toBe(1)
@@ -89,15 +91,15 @@
   })
 
   it('is like any other once nobody has tried it for ten seconds', () => {
-    table.note('a', 1000)
+    table.recordBackoff('a', 1000)
     vi.advanceTimersByTime(11_100)
     expect(table.size).toBe(0)
   })
 
   it('is forgotten with its life', () => {
-    table.note('a', 5000)
+    table.recordBackoff('a', 5000)
     table.forget('a')
-    expect(table.room('a')).toBe(Infinity)
+    expect(table.availablePermits('a')).toBe(Infinity)
     vi.advanceTimersByTime(6000)
     expect(turns.filter(({ event }) => event === 'ended')).toEqual([])
   })
@@ -105,7 +107,7 @@
 
 describe('the table', () => {
   it('stays bounded', () => {
-    for (let index = 0; index < 20_000; index += 1) table.note(`e-${index}`, 60_000)
+    for (let index = 0; index < 20_000; index += 1) table.recordBackoff(`e-${index}`, 60_000)
     expect(table.size).toBe(16_384)
     expect(table.remainingMs('e-19999')).toBeGreaterThan(0)
   })
@@ -122,21 +124,21 @@
       const held: Array<() => void> = []
       for (const next of steps) {
         if (next.type === 'note') {
-          table.note('a', next.ms)
+          table.recordBackoff('a', next.ms)
           if (next.ms > 0) until = Math.max(until, performance.now() + next.ms)
         } else if (next.type === 'wait') {
           vi.advanceTimersByTime(next.ms)
         } else {
           const permit = table.acquire('a')
           if (permit !== undefined) expect(performance.now()).toBeGreaterThanOrEqual(until)
-          if (next.isAnswered) permit?.answered()
-          if (next.isReleased) permit?.released()
-          else if (permit !== undefined) held.push(permit.released)
+          if (next.isAnswered) permit?.recordResponse()
+          if (next.isReleased) permit?.release()
+          else if (permit !== undefined) held.push(permit.release)
         }
       }
       for (const release of held) release()
       vi.advanceTimersByTime(30_000)
-      expect(table.acquire('a')).toBe(OPEN_PERMIT)
+      expect(table.acquire('a')).toBe(UNRESTRICTED_PERMIT)
       expect(table.size).toBe(0)
     }), { numRuns: 300 })
   })
--- a/routing/balancer/src/home-ring.ts
+++ b/routing/balancer/src/affinity-ring.ts
@@ -4,7 +4,7 @@
  * and losing an endpoint moves hardly more than its own subjects.
  */
 import { type EndpointState } from './endpoint-state.ts'
-import { pairRank, rankOf } from './rendezvous.ts'
+import { hashPair, hashName } from './rendezvous.ts'
 import { type SortedList } from './sorted-list.ts'
 
 /** More make the endpoints' shares of the subjects more even: with so many an endpoint has a quarter more or less. */
@@ -20,11 +20,11 @@
 }
 
 /** The home among the endpoints on some rings that are accepted; none if none is near. */
-export function homeOnRings (
+export function findAffinityEndpoint (
   subject: string, rings: ReadonlyArray<SortedList<EndpointState>>, accepts: (endpoint: EndpointState) => boolean
 ): EndpointState | undefined {
-  const point = rankOf(subject)
-  const cursors = rings.map((ring): Cursor => ({ ring, at: ring.firstFrom(point), passed: 0 }))
+  const point = hashName(subject)
+  const cursors = rings.map((ring): Cursor => ({ ring, at: ring.lowerBound(point), passed: 0 }))
   let home: EndpointState | undefined
   let highest = -1
   let found = 0
@@ -37,7 +37,7 @@
     cursor.passed += 1
     if (endpoint === undefined || !accepts(endpoint)) continue
     found += 1
-    const rank = pairRank(point, cursor.ring.keys[index] ?? 0)
+    const rank = hashPair(point, cursor.ring.keys[index] ?? 0)
     if (rank <= highest) continue
     highest = rank
     home = endpoint
--- a/routing/balancer/src/candidate-set.ts
+++ b/routing/balancer/src/candidate-set.ts
@@ -5,15 +5,15 @@
  * random the best is among the first tenth of all with a probability of 0.81, and reading a prompt anew costs more than
  * what lies between these. Twice as many in the sample took 1.7 times as long at 3,000 endpoints as weighing 36.
  */
-import { mayHave, subjectOf, type Demand } from './choose.ts'
-import { type EndpointPool, type PlacePool } from './endpoint-pool.ts'
+import { canAccept, sharedPrefixIdOf, type ChoiceRequest } from './choose.ts'
+import { type EndpointPool, type DataCentrePool } from './endpoint-pool.ts'
 import { type EndpointState } from './endpoint-state.ts'
-import { homeOnRings } from './home-ring.ts'
-import { type Keepers } from './keepers.ts'
+import { findAffinityEndpoint } from './affinity-ring.ts'
+import { type PrefixHolders } from './prefix-holders.ts'
 import { SortedList } from './sorted-list.ts'
 
 /** Up to so many endpoints are all weighed: the users' fleets have up to 41, and 96 take 0.15 ms. */
-export const WEIGH_ALL_UP_TO = 96
+export const SCORE_ALL_LIMIT = 96
 /** So many that keep most of the prompt are weighed; what waits there tells between them. */
 const KEEPERS = 8
 /** So many of the rest come from the own data centre. */
@@ -26,13 +26,13 @@
 const LAST_LOOKS = 256
 
 /** The endpoints among which a request is to go. */
-export interface Choosable {
+export interface CandidateScope {
   pool: EndpointPool
-  keepers: Keepers
+  prefixHolders: PrefixHolders
   /** Whether anything may be sent to a data centre for the request; asked once for each. */
-  mayGoTo: (dataCentre: string) => boolean
+  isDataCentreAllowed: (dataCentre: string) => boolean
   /** Whether an endpoint may have the request, whatever it costs. */
-  accepts: (endpoint: EndpointState) => boolean
+  isAllowed: (endpoint: EndpointState) => boolean
   /** From 0 to 1. */
   random: () => number
 }
@@ -40,95 +40,95 @@
 export interface CandidateSet {
   endpoints: readonly EndpointState[]
   /** The home of the prompt's subject in each region; not given where all are weighed. */
-  homes: readonly EndpointState[] | undefined
+  affinityEndpoints: readonly EndpointState[] | undefined
   /** From which parts of the prompt can be copied. */
-  sources: readonly EndpointState[]
+  copySources: readonly EndpointState[]
 }
 
 /** Gives the endpoints to weigh for a request. */
-export function candidateSet (demand: Demand, choosable: Choosable): CandidateSet {
-  const places = [...choosable.pool.places].filter(({ dataCentre }) => choosable.mayGoTo(dataCentre))
+export function selectCandidates (demand: ChoiceRequest, choosable: CandidateScope): CandidateSet {
+  const places = [...choosable.pool.dataCentrePools].filter(({ dataCentre }) => choosable.isDataCentreAllowed(dataCentre))
   const count = places.reduce((sum, { members }) => sum + members.items.length, 0)
-  return count <= WEIGH_ALL_UP_TO ? allOf(choosable, places) : someOf(demand, choosable, places)
+  return count <= SCORE_ALL_LIMIT ? allOf(choosable, places) : someOf(demand, choosable, places)
 }
 
-function allOf ({ pool, accepts }: Choosable, places: readonly PlacePool[]): CandidateSet {
+function allOf ({ pool, isAllowed }: CandidateScope, places: readonly DataCentrePool[]): CandidateSet {
   const allowed = new Set(places.map(({ dataCentre }) => dataCentre))
-  const isWhole = allowed.size === [...pool.places].length
+  const isWhole = allowed.size === [...pool.dataCentrePools].length
   const members = isWhole ? pool.members.items : bySeniority(places)
-  const endpoints = members.filter(accepts)
-  return { endpoints, homes: undefined, sources: endpoints }
+  const endpoints = members.filter(isAllowed)
+  return { endpoints, affinityEndpoints: undefined, copySources: endpoints }
 }
 
-function bySeniority (places: readonly PlacePool[]): EndpointState[] {
-  return places.flatMap(({ members }) => members.items).sort((left, right) => left.seniority - right.seniority)
+function bySeniority (places: readonly DataCentrePool[]): EndpointState[] {
+  return places.flatMap(({ members }) => members.items).sort((left, right) => left.registrationOrder - right.registrationOrder)
 }
 
-function someOf (demand: Demand, choosable: Choosable, places: readonly PlacePool[]): CandidateSet {
-  const { pool, keepers, random } = choosable
-  const accepts = (endpoint: EndpointState) => isIn(pool, places, endpoint) && choosable.accepts(endpoint)
-  const sources = [...keepers.of({ prompt: demand.prompt, most: KEEPERS, accepts, random })]
+function someOf (demand: ChoiceRequest, choosable: CandidateScope, places: readonly DataCentrePool[]): CandidateSet {
+  const { pool, prefixHolders, random } = choosable
+  const accepts = (endpoint: EndpointState) => isIn(pool, places, endpoint) && choosable.isAllowed(endpoint)
+  const sources = [...prefixHolders.find({ prompt: demand.prompt, limit: KEEPERS, accepts, random })]
   const homes = byRegionOf(demand, places).flatMap((group) => homeOf(demand, choosable, group) ?? [])
-  const found = new Set([...sources, ...homes].filter((endpoint) => mayHave(demand, endpoint)))
+  const found = new Set([...sources, ...homes].filter((endpoint) => canAccept(demand, endpoint)))
   new Sampler(demand, choosable, found).sampleAll(places)
-  return { endpoints: [...found], homes, sources }
+  return { endpoints: [...found], affinityEndpoints: homes, copySources: sources }
 }
 
 /** The places of each region; all together where there is only one. */
-function byRegionOf ({ crossing }: Demand, places: readonly PlacePool[]): PlacePool[][] {
-  const groups = new Map<string, PlacePool[]>()
+function byRegionOf ({ regions }: ChoiceRequest, places: readonly DataCentrePool[]): DataCentrePool[][] {
+  const groups = new Map<string, DataCentrePool[]>()
   for (const place of places) {
-    const region = crossing?.regionOf(place.dataCentre) ?? ''
+    const region = regions?.regionOf(place.dataCentre) ?? ''
     groups.set(region, [...groups.get(region) ?? [], place])
   }
   return [...groups.values()]
 }
 
 /** The home of a subject is among the reserved engines for a sensitive stream, and among the others for all else. */
-function homeOf (demand: Demand, { pool, accepts }: Choosable, places: readonly PlacePool[]): EndpointState | undefined {
-  const subject = subjectOf(demand.prompt)
+function homeOf (demand: ChoiceRequest, { pool, isAllowed }: CandidateScope, places: readonly DataCentrePool[]): EndpointState | undefined {
+  const subject = sharedPrefixIdOf(demand.prompt)
   if (subject === undefined) return undefined
-  const { isSensitive, reserved } = demand
-  const rings = places.map(({ ring }) => ring)
-  if (reserved.size === 0) return homeOnRings(subject, rings, accepts)
-  const fits = (endpoint: EndpointState) => reserved.has(endpoint) === isSensitive && accepts(endpoint)
-  if (!isSensitive || reserved.size > WEIGH_ALL_UP_TO) return homeOnRings(subject, rings, fits)
+  const { isPauseSensitive, reserved } = demand
+  const rings = places.map(({ affinityRing }) => affinityRing)
+  if (reserved.size === 0) return findAffinityEndpoint(subject, rings, isAllowed)
+  const fits = (endpoint: EndpointState) => reserved.has(endpoint) === isPauseSensitive && isAllowed(endpoint)
+  if (!isPauseSensitive || reserved.size > SCORE_ALL_LIMIT) return findAffinityEndpoint(subject, rings, fits)
   // Few among many would rarely be near a point of the ring.
-  const ring = new SortedList<EndpointState>((endpoint) => endpoint.homePoint)
+  const ring = new SortedList<EndpointState>((endpoint) => endpoint.affinityPoint)
   for (const endpoint of reserved) if (isIn(pool, places, endpoint)) ring.add(endpoint)
-  return homeOnRings(subject, [ring], accepts)
+  return findAffinityEndpoint(subject, [ring], isAllowed)
 }
 
 /** Whether an endpoint takes new work in one of some places. One that is gone may still be reserved or known to keep a part. */
-function isIn (pool: EndpointPool, places: readonly PlacePool[], endpoint: EndpointState): boolean {
-  const place = pool.placeOf(endpoint)
+function isIn (pool: EndpointPool, places: readonly DataCentrePool[], endpoint: EndpointState): boolean {
+  const place = pool.dataCentrePoolOf(endpoint)
   return place !== undefined && places.includes(place)
 }
 
 /** Takes endpoints at random that may have a request and have room for it. */
 class Sampler {
   constructor (
-    private readonly demand: Demand, private readonly choosable: Choosable, private readonly found: Set<EndpointState>
+    private readonly demand: ChoiceRequest, private readonly choosable: CandidateScope, private readonly found: Set<EndpointState>
   ) {}
 
-  sampleAll (places: readonly PlacePool[]): void {
-    const { demand: { dataCentre, isSensitive, reserved }, choosable: { pool }, found } = this
+  sampleAll (places: readonly DataCentrePool[]): void {
+    const { demand: { dataCentre, isPauseSensitive, reserved }, choosable: { pool }, found } = this
     const near = places.find((place) => place.dataCentre === dataCentre)
     if (near !== undefined) this.sample(near.members.items, near.members.items.length, NEAR_SAMPLE)
-    if (isSensitive && reserved.size > 0) this.sample(pool.byRank.items, reserved.size, NEAR_SAMPLE, places)
+    if (isPauseSensitive && reserved.size > 0) this.sample(pool.byReservationRank.items, reserved.size, NEAR_SAMPLE, places)
     for (const { members: { items } } of places) this.sample(items, items.length, this.shareOf(items.length, places))
     if (found.size === 0) for (const { members: { items } } of places) this.sample(items, items.length, 1, places, LAST_LOOKS)
   }
 
   /** How many of the sample from all places are of a place with so many endpoints; the rounding is left to chance. */
-  private shareOf (members: number, places: readonly PlacePool[]): number {
+  private shareOf (members: number, places: readonly DataCentrePool[]): number {
     const all = places.reduce((sum, place) => sum + place.members.items.length, 0)
     return Math.floor(FAR_SAMPLE * members / all + this.choosable.random())
   }
 
   /** Takes so many of the first `among` endpoints of a list. */
   private sample (
-    list: readonly EndpointState[], among: number, count: number, within?: readonly PlacePool[], looks = LOOKS_PER_FOUND * count
+    list: readonly EndpointState[], among: number, count: number, within?: readonly DataCentrePool[], looks = LOOKS_PER_FOUND * count
   ): void {
     let left = count
     for (let look = 0; look < looks && left > 0; look += 1) {
@@ -141,6 +141,6 @@
   }
 
   private mayHave (endpoint: EndpointState): boolean {
-    return !this.found.has(endpoint) && mayHave(this.demand, endpoint) && this.choosable.accepts(endpoint)
+    return !this.found.has(endpoint) && canAccept(this.demand, endpoint) && this.choosable.isAllowed(endpoint)
   }
 }
--- a/routing/balancer/src/endpoint-index.ts
+++ b/routing/balancer/src/endpoint-index.ts
@@ -4,12 +4,12 @@
  */
 import { EndpointPool } from './endpoint-pool.ts'
 import { type EndpointState, type EndpointWatcher } from './endpoint-state.ts'
-import { Keepers } from './keepers.ts'
+import { PrefixHolders } from './prefix-holders.ts'
 
 const NO_ENDPOINTS = new EndpointPool()
 
 export class EndpointIndex implements EndpointWatcher {
-  readonly keepers = new Keepers()
+  readonly prefixHolders = new PrefixHolders()
   /** Endpoints with work of this entry, or with something to tell of them. */
   readonly busy = new Set<EndpointState>()
   private readonly pools = new Map<string, EndpointPool>()
@@ -25,7 +25,7 @@
     const { service } = endpoint.description
     const before = this.poolOf.get(endpoint)
     const after = isUsable ? this.poolFor(service) : undefined
-    if (before === after && (after === undefined || after.isPlaced(endpoint))) return
+    if (before === after && (after === undefined || after.isInCurrentDataCentre(endpoint))) return
     before?.remove(endpoint)
     this.poolOf.delete(endpoint)
     if (after === undefined) return
@@ -34,38 +34,38 @@
   }
 
   /** Takes what an endpoint has under way now into what is added up over its service. */
-  count (endpoint: EndpointState): void {
-    this.poolOf.get(endpoint)?.census.count(endpoint)
+  updateTotals (endpoint: EndpointState): void {
+    this.poolOf.get(endpoint)?.totals.update(endpoint)
   }
 
   /** Forgets an endpoint that is gone. */
   forget (endpoint: EndpointState): void {
     this.setUsable(endpoint, false)
     this.busy.delete(endpoint)
-    endpoint.prefixes.clear()
+    endpoint.prefixCache.clear()
   }
 
   /** Leaves out endpoints of which there is nothing left to tell. */
-  settle (now: number): void {
+  removeIdle (now: number): void {
     for (const endpoint of this.busy) {
-      const isUntold = endpoint.reading.hasSeen || endpoint.outcomes.hasSeen
-      if (endpoint.inFlight === 0 && !endpoint.isDead(now) && !isUntold) this.busy.delete(endpoint)
+      const isUntold = endpoint.prefill.hasObservations || endpoint.outcomes.hasObservations
+      if (endpoint.inFlight === 0 && !endpoint.isUnreachable(now) && !isUntold) this.busy.delete(endpoint)
     }
   }
 
-  kept (endpoint: EndpointState, part: string): void {
-    this.keepers.add(endpoint, part)
+  onPartCached (endpoint: EndpointState, part: string): void {
+    this.prefixHolders.add(endpoint, part)
   }
 
-  dropped (endpoint: EndpointState, part: string): void {
-    this.keepers.remove(endpoint, part)
+  onPartEvicted (endpoint: EndpointState, part: string): void {
+    this.prefixHolders.remove(endpoint, part)
   }
 
-  began (endpoint: EndpointState): void {
+  onRequestStarted (endpoint: EndpointState): void {
     this.busy.add(endpoint)
   }
 
-  ended (endpoint: EndpointState): void {
+  onEnded (endpoint: EndpointState): void {
     this.setUsable(endpoint, false)
   }
 
--- a/routing/balancer/src/endpoint-state.ts
+++ b/routing/balancer/src/endpoint-state.ts
@@ -1,9 +1,9 @@
 /** What one entry has seen of one incarnation of an endpoint. */
-import { HeldMemory, NO_MEMORY_USE, sizeOf, type MemoryUse, type RequestSize } from './engine-memory.ts'
-import { PrefixMemory, type PromptPart } from './prefix-memory.ts'
+import { InFlightMemory, NO_MEMORY_USE, requestSizeOf, type MemoryUse, type RequestSize } from './engine-memory.ts'
+import { PrefixCacheModel, type PromptPart } from './prefix-cache-model.ts'
 import { OutcomeObserver } from './outcome-observer.ts'
-import { ReadingObserver } from './reading-observer.ts'
-import { rankOf } from './rendezvous.ts'
+import { PrefillObserver } from './prefill-observer.ts'
+import { hashName } from './rendezvous.ts'
 
 /** How an attempt ended, as far as it tells something of the endpoint. */
 export type AttemptVerdict = 'good' | 'failed' | 'shed' | 'unreachable' | 'ended' | 'neutral'
@@ -23,7 +23,7 @@
 const READ_WITHIN_MS = 600
 
 /** One attempt that is under way. */
-export interface Work {
+export interface InFlightRequest {
   readonly startedAt: number
   /** Prompt tokens that the endpoint had still to read when the attempt was sent. */
   readonly unreadTokens: number
@@ -31,14 +31,14 @@
   readonly urgency: number
   /** All tokens of the prompt; none of them may be kept there after all. */
   readonly promptTokens: number
-  readonly strain: number
-  readonly isSensitive: boolean
+  readonly pauseSensitivity: number
+  readonly isPauseSensitive: boolean
   /** Prompt tokens that were to be read there before it. */
   readonly aheadTokens: number
   /** Whether the first event has arrived. */
-  hasBegun: boolean
+  hasFirstEvent: boolean
   /** When events last arrived, or the attempt was sent. */
-  eventAt: number
+  lastEventAt: number
 }
 
 /** Prompt tokens of one urgency that are probably not read yet. */
@@ -48,7 +48,7 @@
 }
 
 /** Work of other entries at an endpoint. */
-export interface OthersWork {
+export interface OthersLoad {
   readonly unread: readonly UnreadTokens[]
   readonly running: number
   /** The strains of their streams, added up. */
@@ -61,16 +61,16 @@
   readonly memory?: MemoryUse | undefined
 }
 
-export const NO_OTHERS: OthersWork = { unread: [], running: 0, strain: 0, sensitive: 0, unreachable: 0 }
+export const NO_OTHERS_LOAD: OthersLoad = { unread: [], running: 0, strain: 0, sensitive: 0, unreachable: 0 }
 
 /** What is sent to an endpoint. */
 export interface SentPrompt {
   prompt: readonly PromptPart[]
   unreadTokens: number
   urgency: number
-  strain: number
+  pauseSensitivity: number
   /** Whether it is a stream that is sensitive to reading, and reads little itself. */
-  isSensitive: boolean
+  isPauseSensitive: boolean
   /** How long its answer will probably be. */
   outputTokens?: number
 }
@@ -88,34 +88,34 @@
 /** Who is told of changes that a choice among many must not miss. */
 export interface EndpointWatcher {
   /** It is taken to keep a part of prompts from now on. */
-  kept: (endpoint: EndpointState, part: string) => void
-  dropped: (endpoint: EndpointState, part: string) => void
+  onPartCached: (endpoint: EndpointState, part: string) => void
+  onPartEvicted: (endpoint: EndpointState, part: string) => void
   /** This entry sends something there. */
-  began: (endpoint: EndpointState) => void
+  onRequestStarted: (endpoint: EndpointState) => void
   /** It has ended for good. */
-  ended: (endpoint: EndpointState) => void
+  onEnded: (endpoint: EndpointState) => void
 }
 
 /** What the points on the ring of homes are hashed with, so that they have nothing to do with the rank for reservations. */
 const HOME_SALT = 'home '
 
-const NOTHING: RequestSize = { ownTokens: 0, subject: undefined, sharedTokens: 0 }
+const NOTHING: RequestSize = { ownTokens: 0, sharedPrefixId: undefined, sharedTokens: 0 }
 
 let created = 0
 
 export class EndpointState {
-  readonly prefixes: PrefixMemory
-  readonly reading = new ReadingObserver()
+  readonly prefixCache: PrefixCacheModel
+  readonly prefill = new PrefillObserver()
   /** How attempts of all entries ended here. */
   readonly outcomes = new OutcomeObserver()
-  readonly works = new Set<Work>()
+  readonly inFlightRequests = new Set<InFlightRequest>()
   /** What the requests of this entry hold of its memory. */
-  readonly memory = new HeldMemory()
-  private readonly sizes = new WeakMap<Work, RequestSize>()
+  readonly memory = new InFlightMemory()
+  private readonly sizes = new WeakMap<InFlightRequest, RequestSize>()
   /** When any byte last arrived from the endpoint. */
-  heardAt = -Infinity
+  lastReceivedAt = -Infinity
   /** What the other entries have under way there, as they last told. */
-  others: OthersWork = NO_OTHERS
+  othersLoad: OthersLoad = NO_OTHERS_LOAD
   /** A moving share of failures among finished attempts. */
   failureShare = 0
   /** Whether another process has answered at its address: this incarnation has ended for good. */
@@ -123,9 +123,9 @@
   /** Its place among the engines of its service when some of them are reserved; those with a low one come first. */
   readonly reservationRank: number
   /** Its place on the ring of homes. */
-  readonly homePoint: number
+  readonly affinityPoint: number
   /** How many became known before it. */
-  readonly seniority = created++
+  readonly registrationOrder = created++
   private ejectedUntil = -Infinity
   private ejections = 0
 
@@ -133,21 +133,21 @@
   constructor (
     public description: EndpointDescription, public memoryTokens = DEFAULT_MEMORY_TOKENS, private readonly watcher?: EndpointWatcher
   ) {
-    this.reservationRank = rankOf(description.incarnation)
-    this.homePoint = rankOf(HOME_SALT + description.incarnation)
-    this.prefixes = new PrefixMemory(memoryTokens * CACHE_SHARE, {
-      kept: (part) => watcher?.kept(this, part),
-      dropped: (part) => watcher?.dropped(this, part)
+    this.reservationRank = hashName(description.incarnation)
+    this.affinityPoint = hashName(HOME_SALT + description.incarnation)
+    this.prefixCache = new PrefixCacheModel(memoryTokens * CACHE_SHARE, {
+      onCached: (part) => watcher?.onPartCached(this, part),
+      onEvicted: (part) => watcher?.onPartEvicted(this, part)
     })
   }
 
   get inFlight (): number {
-    return this.works.size
+    return this.inFlightRequests.size
   }
 
   /** Requests of all entries that run there. */
   get running (): number {
-    return this.works.size + this.others.running
+    return this.inFlightRequests.size + this.othersLoad.running
   }
 
   /** Prompt tokens that any entry has sent and that are probably not read yet. */
@@ -158,10 +158,10 @@
   /** Those of them that are read before or with a request of some urgency. */
   tokensAhead (urgency: number): number {
     let tokens = 0
-    for (const work of this.works) {
-      if (!work.hasBegun && work.urgency <= urgency) tokens += work.unreadTokens
+    for (const work of this.inFlightRequests) {
+      if (!work.hasFirstEvent && work.urgency <= urgency) tokens += work.unreadTokens
     }
-    for (const unread of this.others.unread) {
+    for (const unread of this.othersLoad.unread) {
       if (unread.urgency <= urgency) tokens += unread.tokens
     }
     return tokens
@@ -170,34 +170,34 @@
   /** What this entry has sent and what is probably not read yet. */
   ownUnread (): UnreadTokens[] {
     const byUrgency = new Map<number, number>()
-    for (const { hasBegun, urgency, unreadTokens } of this.works) {
-      if (!hasBegun) byUrgency.set(urgency, (byUrgency.get(urgency) ?? 0) + unreadTokens)
+    for (const { hasFirstEvent, urgency, unreadTokens } of this.inFlightRequests) {
+      if (!hasFirstEvent) byUrgency.set(urgency, (byUrgency.get(urgency) ?? 0) + unreadTokens)
     }
     return [...byUrgency].map(([urgency, tokens]) => ({ urgency, tokens }))
   }
 
   /** The strains of the streams of this entry that run there, added up. */
-  get ownStrain (): number {
+  get ownPauseSensitivity (): number {
     let strain = 0
-    for (const work of this.works) strain += work.strain
+    for (const work of this.inFlightRequests) strain += work.pauseSensitivity
     return strain
   }
 
   /** The same of all entries. */
-  get strain (): number {
-    return this.ownStrain + this.others.strain
+  get pauseSensitivity (): number {
+    return this.ownPauseSensitivity + this.othersLoad.strain
   }
 
   /** The streams of this entry that run there and are sensitive to reading. */
-  get ownSensitive (): number {
+  get ownPauseSensitiveStreams (): number {
     let count = 0
-    for (const work of this.works) if (work.isSensitive) count += 1
+    for (const work of this.inFlightRequests) if (work.isPauseSensitive) count += 1
     return count
   }
 
   /** The same of all entries. */
-  get sensitive (): number {
-    return this.ownSensitive + this.others.sensitive
+  get pauseSensitiveStreams (): number {
+    return this.ownPauseSensitiveStreams + this.othersLoad.sensitive
   }
 
   /** The share of its memory that the requests of all entries will hold there. */
@@ -208,50 +208,60 @@
   /** The same, with one more. */
   memoryShareWith (size: RequestSize): number {
     if (this.memoryTokens <= 0) return 0
-    const others = this.others.memory ?? NO_MEMORY_USE
-    const isKept = size.subject !== undefined && this.prefixes.has(size.subject)
-    return (this.memory.tokensWith(others) + this.memory.addedBy(size, others, isKept)) / this.memoryTokens
+    const others = this.othersLoad.memory ?? NO_MEMORY_USE
+    const isKept = size.sharedPrefixId !== undefined && this.prefixCache.has(size.sharedPrefixId)
+    return (this.memory.tokensWith(others) + this.memory.tokensAddedBy(size, others, isKept)) / this.memoryTokens
   }
 
   /** Takes a sample of how much there is to read; samples come at even intervals, or one for several of them. */
-  sampleReading (now: number, intervals = 1): void {
-    this.reading.sample(this.backlogTokens, now, intervals)
+  samplePrefill (now: number, intervals = 1): void {
+    this.prefill.sample(this.backlogTokens, now, intervals)
   }
 
-  begin ({ prompt, unreadTokens, urgency, strain, isSensitive, outputTokens = 0 }: SentPrompt, now: number): Work {
+  begin (
+    { prompt, unreadTokens, urgency, pauseSensitivity, isPauseSensitive, outputTokens = 0 }: SentPrompt, now: number
+  ): InFlightRequest {
     const promptTokens = prompt.reduce((tokens, part) => tokens + part.tokens, 0)
     const aheadTokens = this.tokensAhead(urgency)
-    const size = sizeOf(prompt, outputTokens)
-    const work: Work = {
-      startedAt: now, unreadTokens, urgency, promptTokens, strain, isSensitive, aheadTokens, hasBegun: false, eventAt: now
+    const size = requestSizeOf(prompt, outputTokens)
+    const work: InFlightRequest = {
+      startedAt: now,
+      unreadTokens,
+      urgency,
+      promptTokens,
+      pauseSensitivity,
+      isPauseSensitive,
+      aheadTokens,
+      hasFirstEvent: false,
+      lastEventAt: now
     }
-    this.works.add(work)
+    this.inFlightRequests.add(work)
     this.sizes.set(work, size)
     this.memory.add(size)
-    this.watcher?.began(this)
-    this.noteKept(prompt, now)
+    this.watcher?.onRequestStarted(this)
+    this.recordCached(prompt, now)
     return work
   }
 
   /** Notes that any entry has sent parts of prompts there. They can be copied once what waits there before them is read. */
-  noteKept (parts: readonly PromptPart[], now: number): void {
-    this.prefixes.note(parts, now + READ_WITHIN_MS + this.backlogTokens / this.reading.tokensPerMs)
+  recordCached (parts: readonly PromptPart[], now: number): void {
+    this.prefixCache.record(parts, now + READ_WITHIN_MS + this.backlogTokens / this.prefill.tokensPerMs)
   }
 
   /** Notes that events of an attempt have arrived. */
-  noteEvents (work: Work, now: number): void {
-    const sinceLast = now - work.eventAt
-    if (work.hasBegun) this.reading.notePause(sinceLast, work.eventAt)
-    else this.reading.noteRead({ tokens: work.unreadTokens, aheadTokens: work.aheadTokens, tookMs: sinceLast })
-    work.hasBegun = true
-    work.eventAt = now
+  recordEvents (work: InFlightRequest, now: number): void {
+    const sinceLast = now - work.lastEventAt
+    if (work.hasFirstEvent) this.prefill.recordPause(sinceLast, work.lastEventAt)
+    else this.prefill.recordPrefill({ tokens: work.unreadTokens, aheadTokens: work.aheadTokens, tookMs: sinceLast })
+    work.hasFirstEvent = true
+    work.lastEventAt = now
   }
 
-  end (work: Work, verdict: AttemptVerdict, now: number): void {
-    this.works.delete(work)
+  end (work: InFlightRequest, verdict: AttemptVerdict, now: number): void {
+    this.inFlightRequests.delete(work)
     this.release(work)
     if (verdict === 'neutral') return
-    if (verdict === 'good' || verdict === 'failed') this.outcomes.note(verdict === 'good')
+    if (verdict === 'good' || verdict === 'failed') this.outcomes.record(verdict === 'good')
     const failed = verdict === 'good' ? 0 : 1
     this.failureShare += FAILURE_WEIGHT * (failed - this.failureShare)
     if (verdict === 'unreachable') this.eject(now)
@@ -265,13 +275,13 @@
   }
 
   /** Whether this entry can't reach the endpoint: a connection failed a short while ago, or another process has its address. */
-  isDead (now: number): boolean {
+  isUnreachable (now: number): boolean {
     return this.hasEnded || this.isEjected(now)
   }
 
   /** The share of other entries that could not connect there, among those that lately could not or have work there. */
   get unreachableShare (): number {
-    const { unreachable, running } = this.others
+    const { unreachable, running } = this.othersLoad
     return unreachable / (unreachable + running + 1)
   }
 
@@ -279,14 +289,14 @@
   isSilent (now: number): boolean {
     let oldest = Infinity
     let promptTokens = 0
-    for (const work of this.works) {
+    for (const work of this.inFlightRequests) {
       oldest = Math.min(oldest, work.startedAt)
-      if (!work.hasBegun) promptTokens += work.promptTokens
+      if (!work.hasFirstEvent) promptTokens += work.promptTokens
     }
-    return now - Math.max(this.heardAt, oldest) > SILENT_MS + promptTokens / SLOWEST_READ_TOKENS_PER_MS
+    return now - Math.max(this.lastReceivedAt, oldest) > SILENT_MS + promptTokens / SLOWEST_READ_TOKENS_PER_MS
   }
 
-  private release (work: Work): void {
+  private release (work: InFlightRequest): void {
     const size = this.sizes.get(work)
     if (size === undefined) return
     this.sizes.delete(work)
@@ -295,7 +305,7 @@
 
   private noteEnded (): void {
     this.hasEnded = true
-    this.watcher?.ended(this)
+    this.watcher?.onEnded(this)
   }
 
   private eject (now: number): void {
--- a/routing/balancer/src/engine-memory.ts
+++ b/routing/balancer/src/engine-memory.ts
@@ -8,8 +8,8 @@
  * a subject twice: what an engine will hold is then foreseen to a tenth, where adding up what each entry tells counts a
  * subject as often as entries have it. What two subjects share with each other counts for each of them.
  */
-import { type PromptPart } from './prefix-memory.ts'
-import { rankOf } from './rendezvous.ts'
+import { type PromptPart } from './prefix-cache-model.ts'
+import { hashName } from './rendezvous.ts'
 
 /** Bits of the sketch, in two numbers. */
 const WORD_BITS = 32
@@ -28,7 +28,7 @@
   /** Its own part of the prompt, and the answer that is expected. */
   ownTokens: number
   /** Its deepest part that others share; none if it has only one part. */
-  subject: string | undefined
+  sharedPrefixId: string | undefined
   /** The parts up to and with that one. */
   sharedTokens: number
 }
@@ -48,17 +48,17 @@
 export const NO_MEMORY_USE: MemoryUse = { tokens: 0, sharedTokens: 0, sharing: 0, subjects: [0, 0] }
 
 /** What a request will hold. */
-export function sizeOf (prompt: readonly PromptPart[], outputTokens: number): RequestSize {
+export function requestSizeOf (prompt: readonly PromptPart[], outputTokens: number): RequestSize {
   const shared = prompt.slice(0, -1)
   return {
     ownTokens: (prompt.at(-1)?.tokens ?? 0) + outputTokens,
-    subject: shared.at(-1)?.id,
+    sharedPrefixId: shared.at(-1)?.id,
     sharedTokens: shared.reduce((sum, { tokens }) => sum + tokens, 0)
   }
 }
 
 /** Adds what some entries hold to what others do. */
-export function joinUse (left: MemoryUse, right: MemoryUse): MemoryUse {
+export function addMemoryUse (left: MemoryUse, right: MemoryUse): MemoryUse {
   return {
     tokens: left.tokens + right.tokens,
     sharedTokens: left.sharedTokens + right.sharedTokens,
@@ -73,26 +73,26 @@
 }
 
 /** The requests of this entry at one engine. */
-export class HeldMemory {
+export class InFlightMemory {
   private readonly subjects = new Map<string, HeldSubject>()
   private ownTokens = 0
   /** What is made of the subjects, for as long as they stay the same: a choice asks for it at each engine. */
   private summary: Summary | undefined
 
-  add ({ ownTokens, subject, sharedTokens }: RequestSize): void {
+  add ({ ownTokens, sharedPrefixId, sharedTokens }: RequestSize): void {
     this.ownTokens += ownTokens
-    if (subject === undefined) return
-    const requests = (this.subjects.get(subject)?.requests ?? 0) + 1
-    this.subjects.set(subject, { tokens: sharedTokens, requests })
+    if (sharedPrefixId === undefined) return
+    const requests = (this.subjects.get(sharedPrefixId)?.requests ?? 0) + 1
+    this.subjects.set(sharedPrefixId, { tokens: sharedTokens, requests })
     this.summary = undefined
   }
 
-  remove ({ ownTokens, subject }: RequestSize): void {
+  remove ({ ownTokens, sharedPrefixId }: RequestSize): void {
     this.ownTokens -= ownTokens
-    const known = subject === undefined ? undefined : this.subjects.get(subject)
-    if (subject === undefined || known === undefined) return
+    const known = sharedPrefixId === undefined ? undefined : this.subjects.get(sharedPrefixId)
+    if (sharedPrefixId === undefined || known === undefined) return
     known.requests -= 1
-    if (known.requests === 0) this.subjects.delete(subject)
+    if (known.requests === 0) this.subjects.delete(sharedPrefixId)
     this.summary = undefined
   }
 
@@ -115,8 +115,10 @@
    * Tokens that a request would add.
    * @param isKept whether the engine is taken to keep its shared parts: with 30 subjects a bit is another's four times in ten
    */
-  addedBy ({ ownTokens, subject, sharedTokens }: RequestSize, others: MemoryUse, isKept: boolean): number {
-    const isThere = subject === undefined || this.subjects.has(subject) || (isKept && hasBit(others.subjects, bitOf(subject)))
+  tokensAddedBy ({ ownTokens, sharedPrefixId, sharedTokens }: RequestSize, others: MemoryUse, isKept: boolean): number {
+    const isThere = sharedPrefixId === undefined || this.subjects.has(sharedPrefixId) || (
+      isKept && hasBit(others.subjects, bitOf(sharedPrefixId))
+    )
     return ownTokens + (isThere ? 0 : sharedTokens)
   }
 
@@ -156,7 +158,7 @@
 }
 
 /** How much an engine is avoided whose memory fills: 0 up to the share from which it is crowded, 1 where it is full. */
-export function memoryCrowding (share: number): number {
+export function memoryUtilisationPenalty (share: number): number {
   return Math.min(1, Math.max(0, (share - CROWDED_SHARE) / (FULL_SHARE - CROWDED_SHARE))) ** 2
 }
 
@@ -166,14 +168,14 @@
 }
 
 /** Why no engine of some memory can ever run a request; undefined if it can. Only what is certain counts: its prompt and one token. */
-export function whyTooLarge (prompt: readonly PromptPart[], memoryTokens: number): string | undefined {
+export function findMemoryRefusalReason (prompt: readonly PromptPart[], memoryTokens: number): string | undefined {
   const tokens = prompt.reduce((sum, part) => sum + part.tokens, 0) + 1
   if (memoryTokens <= 0 || tokens <= memoryTokens) return undefined
   return `its prompt and a first token take ${tokens} tokens, and the memory of an engine holds ${memoryTokens}`
 }
 
 function bitOf (subject: string): number {
-  return rankOf(subject) % SKETCH_BITS
+  return hashName(subject) % SKETCH_BITS
 }
 
 function hasBit ([low, high]: readonly [number, number], bit: number): boolean {
--- a/routing/balancer/src/engine-census.ts
+++ b/routing/balancer/src/engine-totals.ts
@@ -12,19 +12,19 @@
 
 const NOTHING: Counted = { slots: 0, pauseMs: 0, sensitive: 0 }
 
-export class EngineCensus {
+export class EngineTotals {
   private readonly counted = new Map<EndpointState, Counted>()
   private readonly sums: Counted = { ...NOTHING }
 
   /** Counts an engine as it is now, in place of what it was. */
-  count (engine: EndpointState): void {
-    const now = { slots: engine.description.slots, pauseMs: engine.reading.pauseMs, sensitive: engine.sensitive }
+  update (engine: EndpointState): void {
+    const now = { slots: engine.description.slots, pauseMs: engine.prefill.pauseMs, sensitive: engine.pauseSensitiveStreams }
     this.replace(this.counted.get(engine), now)
     this.counted.set(engine, now)
   }
 
   /** Leaves out an engine that takes no new work. */
-  leaveOut (engine: EndpointState): void {
+  remove (engine: EndpointState): void {
     this.replace(this.counted.get(engine), NOTHING)
     this.counted.delete(engine)
   }
@@ -38,7 +38,7 @@
   }
 
   /** Sensitive streams under way at all engines. */
-  get sensitive (): number {
+  get pauseSensitiveStreams (): number {
     return this.sums.sensitive
   }
 
--- a/routing/balancer/src/outcome-observer.ts
+++ b/routing/balancer/src/outcome-observer.ts
@@ -23,18 +23,18 @@
   private seen: Outcomes = { good: 0, failed: 0 }
 
   /** Notes how an own attempt ended; it counts once all have told. */
-  note (isGood: boolean): void {
+  record (isGood: boolean): void {
     if (isGood) this.seen.good += 1
     else this.seen.failed += 1
   }
 
   /** Whether something was seen that has not been told. */
-  get hasSeen (): boolean {
+  get hasObservations (): boolean {
     return this.seen.good + this.seen.failed > 0
   }
 
   /** What was seen since the last call. */
-  takeSeen (): Outcomes {
+  takeObservations (): Outcomes {
     const { seen } = this
     this.seen = { good: 0, failed: 0 }
     return seen
@@ -45,7 +45,7 @@
     const attempts = good + failed
     if (attempts === 0) return
     const weight = 1 - (1 - OUTCOME_WEIGHT) ** attempts
-    this.adopt(this.shareAt(now) + weight * (failed / attempts - this.shareAt(now)), now)
+    this.adopt(this.failureShareAt(now) + weight * (failed / attempts - this.failureShareAt(now)), now)
   }
 
   /** Takes the share that was learnt from what all told. */
@@ -55,12 +55,12 @@
   }
 
   /** The share of attempts that failed lately; 0 where nothing is known. */
-  shareAt (now: number): number {
+  failureShareAt (now: number): number {
     return this.share === 0 ? 0 : this.share * 0.5 ** ((now - this.learntAt) / HALF_LIFE_MS)
   }
 
   /** By how much it is beyond what is ordinary. */
-  excessAt (now: number): number {
-    return Math.max(0, this.shareAt(now) - ORDINARY_SHARE)
+  excessFailureShareAt (now: number): number {
+    return Math.max(0, this.failureShareAt(now) - ORDINARY_SHARE)
   }
 }
--- a/routing/balancer/src/output-estimate.ts
+++ b/routing/balancer/src/output-length-estimator.ts
@@ -13,32 +13,32 @@
 const MAX_ROUTES = 5000
 
 /** What a caller says of the length of its answer. */
-export interface OutputWord {
+export interface OutputLengthHint {
   /** The tokens it expects. */
-  hint?: number | undefined
+  expectedTokens?: number | undefined
   /** The most it takes. */
-  most?: number | undefined
+  maxTokens?: number | undefined
 }
 
-export class OutputEstimate {
+export class OutputLengthEstimator {
   /** The logarithm of what callers of a route usually estimate. */
   private readonly usual = new Map<string, number>()
 
   /** Notes a request of a route. */
-  note (route: string, { hint }: OutputWord): void {
-    if (hint === undefined || hint <= 0) return
-    const known = this.usual.get(route) ?? Math.log(hint)
-    this.usual.set(route, known + USUAL_WEIGHT * (Math.log(hint) - known))
+  record (route: string, { expectedTokens }: OutputLengthHint): void {
+    if (expectedTokens === undefined || expectedTokens <= 0) return
+    const known = this.usual.get(route) ?? Math.log(expectedTokens)
+    this.usual.set(route, known + USUAL_WEIGHT * (Math.log(expectedTokens) - known))
     const [oldest] = this.usual.keys()
     if (this.usual.size > MAX_ROUTES && oldest !== undefined) this.usual.delete(oldest)
   }
 
   /** The tokens to expect; none where nothing is known. */
-  of (route: string, { hint, most }: OutputWord): number {
+  estimate (route: string, { expectedTokens, maxTokens }: OutputLengthHint): number {
     const usual = this.usual.get(route)
-    const limit = most !== undefined && most > 0 ? most : Infinity
-    if (hint === undefined || hint <= 0) return usual === undefined ? 0 : Math.min(limit, Math.exp(usual))
-    const logHint = Math.log(hint)
+    const limit = maxTokens !== undefined && maxTokens > 0 ? maxTokens : Infinity
+    if (expectedTokens === undefined || expectedTokens <= 0) return usual === undefined ? 0 : Math.min(limit, Math.exp(usual))
+    const logHint = Math.log(expectedTokens)
     return Math.min(limit, Math.exp(logHint + USUAL_SHARE * ((usual ?? logHint) - logHint)))
   }
 }
--- a/routing/balancer/src/strain.ts
+++ b/routing/balancer/src/pause-sensitivity.ts
@@ -15,7 +15,7 @@
  * @param targetPauseMs the longest pause that it bears, if it has a target
  * @param readingPauseMs the pauses of streams there while prompts are read
  */
-export function strainOf (targetPauseMs: number | undefined, readingPauseMs: number): number {
+export function pauseSensitivityOf (targetPauseMs: number | undefined, readingPauseMs: number): number {
   return targetPauseMs === undefined ? 0 : Math.min(MAX_STRAIN, (readingPauseMs / targetPauseMs) ** STRAIN_EXPONENT)
 }
 
@@ -25,6 +25,6 @@
 const FULL_READ_MS = 200
 
 /** Which share of the streams of an engine is spoilt if it reads for so long without a break; from 0 to 1. */
-export function spoiltShare (readMs: number): number {
+export function delayedStreamShare (readMs: number): number {
   return Math.min(1, Math.max(0, (readMs - HARMLESS_READ_MS) / (FULL_READ_MS - HARMLESS_READ_MS)))
 }
--- a/routing/balancer/src/reading-observer.ts
+++ b/routing/balancer/src/prefill-observer.ts
@@ -36,7 +36,7 @@
 const MAX_UNTOLD = 16
 
 /** How long it took until a prompt had been read. */
-export interface TimedRead {
+export interface PrefillSample {
   /** Those of the prompt that had to be read. */
   tokens: number
   /** Those of other prompts that went before. */
@@ -45,45 +45,45 @@
 }
 
 /** What an entry saw since it last told. */
-export interface SeenReading {
+export interface PrefillObservations {
   pauses: number[]
-  reads: TimedRead[]
+  reads: PrefillSample[]
 }
 
-export class ReadingObserver {
+export class PrefillObserver {
   /** How fast it reads, with all that runs beside it, in tokens a ms. */
   tokensPerMs = UNKNOWN_TOKENS_PER_MS
   /** How long streams there pause while it reads, in ms. */
   pauseMs = UNKNOWN_PAUSE_MS
   /** The share of the last seconds in which it read, from 0 to 1. */
-  share = 0
+  busyShare = 0
   private busyAt = -Infinity
-  private seen: SeenReading = { pauses: [], reads: [] }
+  private seen: PrefillObservations = { pauses: [], reads: [] }
 
   /** Takes a sample of the tokens that wait to be read there; samples come at even intervals, or one for several of them. */
   sample (backlogTokens: number, now: number, intervals = 1): void {
     const isReading = Math.min(1, backlogTokens / BUSY_TOKENS)
     if (isReading === 1) this.busyAt = now
     const weight = intervals === 1 ? SHARE_WEIGHT : 1 - (1 - SHARE_WEIGHT) ** intervals
-    this.share += weight * (isReading - this.share)
+    this.busyShare += weight * (isReading - this.busyShare)
   }
 
   /** Notes that a prompt has been read, after all that was to be read before it. */
-  noteRead (read: TimedRead): void {
+  recordPrefill (read: PrefillSample): void {
     if (read.tokens < MIN_TIMED_TOKENS || read.tookMs < MIN_TIMED_MS) return
     if (this.seen.reads.length < MAX_UNTOLD) this.seen.reads.push(read)
-    this.learnRead(read)
+    this.learnPrefill(read)
   }
 
   /** Learns from a prompt that was long enough to tell something. */
-  learnRead ({ tokens, aheadTokens, tookMs }: TimedRead): void {
+  learnPrefill ({ tokens, aheadTokens, tookMs }: PrefillSample): void {
     const seen = clamp((tokens + aheadTokens) / tookMs, this.tokensPerMs / SPEED_STEP, this.tokensPerMs * SPEED_STEP)
     const learnt = this.tokensPerMs + SPEED_WEIGHT * (seen - this.tokensPerMs)
     this.tokensPerMs = clamp(learnt, UNKNOWN_TOKENS_PER_MS / SPEED_RANGE, UNKNOWN_TOKENS_PER_MS * SPEED_RANGE)
   }
 
   /** Notes the time between two events of a stream there; it counts if the engine read in between. */
-  notePause (pauseMs: number, startedAt: number): void {
+  recordPause (pauseMs: number, startedAt: number): void {
     if (this.busyAt < startedAt || pauseMs < MIN_READING_PAUSE_MS) return
     if (this.seen.pauses.length < MAX_UNTOLD) this.seen.pauses.push(Math.round(pauseMs))
     this.learnPause(pauseMs)
@@ -97,20 +97,20 @@
   }
 
   /** Takes what was learnt from the observations of many. */
-  adopt ({ tokensPerMs, pauseMs }: Pick<ReadingObserver, 'tokensPerMs' | 'pauseMs'>): void {
+  adopt ({ tokensPerMs, pauseMs }: Pick<PrefillObserver, 'tokensPerMs' | 'pauseMs'>): void {
     this.tokensPerMs = tokensPerMs
     this.pauseMs = pauseMs
   }
 
   /** Whether something was seen that has not been told. */
-  get hasSeen (): boolean {
+  get hasObservations (): boolean {
     return this.seen.pauses.length + this.seen.reads.length > 0
   }
 
   /** What was seen since the last call; undefined if nothing. */
-  takeSeen (): SeenReading | undefined {
+  takeObservations (): PrefillObservations | undefined {
     const { seen } = this
-    if (!this.hasSeen) return undefined
+    if (!this.hasObservations) return undefined
     this.seen = { pauses: [], reads: [] }
     return seen
   }
--- a/routing/balancer/src/prefix-memory.ts
+++ b/routing/balancer/src/prefix-cache-model.ts
@@ -17,11 +17,11 @@
 
 /** Who is told which parts are kept. */
 export interface PartWatcher {
-  kept: (part: string) => void
-  dropped: (part: string) => void
+  onCached: (part: string) => void
+  onEvicted: (part: string) => void
 }
 
-export class PrefixMemory {
+export class PrefixCacheModel {
   private readonly parts = new Map<string, KeptPart>()
   private tokens = 0
 
@@ -47,12 +47,12 @@
    * Notes a prompt that was sent to the endpoint.
    * @param readAt when it has probably been read there; what was noted before was read by then
    */
-  note (prompt: readonly PromptPart[], readAt: number): void {
+  record (prompt: readonly PromptPart[], readAt: number): void {
     for (const { id, tokens } of prompt) {
       const known = this.takeOut(id)
       this.parts.set(id, { tokens, readAt: known?.readAt ?? readAt })
       this.tokens += tokens
-      if (known === undefined) this.watcher?.kept(id)
+      if (known === undefined) this.watcher?.onCached(id)
     }
     for (const id of this.parts.keys()) {
       if (this.tokens <= this.capacityTokens) return
@@ -67,7 +67,7 @@
 
   private drop (id: string): void {
     this.takeOut(id)
-    this.watcher?.dropped(id)
+    this.watcher?.onEvicted(id)
   }
 
   private takeOut (id: string): KeptPart | undefined {
--- a/routing/balancer/src/keepers.ts
+++ b/routing/balancer/src/prefix-holders.ts
@@ -3,21 +3,21 @@
  * 3,000 spends most of its time on.
  */
 import { type EndpointState } from './endpoint-state.ts'
-import { type PromptPart } from './prefix-memory.ts'
+import { type PromptPart } from './prefix-cache-model.ts'
 
 /** A part that very many keep is looked for at no more than so many of them. */
 const MAX_LOOKS = 64
 
-export interface KeeperSearch {
+export interface PrefixHolderQuery {
   prompt: readonly PromptPart[]
   /** How many are wanted. */
-  most: number
+  limit: number
   accepts: (endpoint: EndpointState) => boolean
   /** From 0 to 1; where the search begins among those that keep the same part. */
   random: () => number
 }
 
-export class Keepers {
+export class PrefixHolders {
   /** Most parts are kept at one place only: those need no list. */
   private readonly byPart = new Map<string, EndpointState | EndpointState[]>()
 
@@ -39,13 +39,13 @@
   }
 
   /** Some that keep most of a prompt: those of its deepest part first. */
-  of ({ prompt, most, accepts, random }: KeeperSearch): Set<EndpointState> {
+  find ({ prompt, limit, accepts, random }: PrefixHolderQuery): Set<EndpointState> {
     const found = new Set<EndpointState>()
-    for (let depth = prompt.length - 1; depth >= 0 && found.size < most; depth -= 1) {
+    for (let depth = prompt.length - 1; depth >= 0 && found.size < limit; depth -= 1) {
       const keepers = this.keepersOf(prompt[depth]?.id ?? '')
       const start = Math.floor(random() * keepers.length)
       const looks = Math.min(keepers.length, MAX_LOOKS)
-      for (let look = 0; look < looks && found.size < most; look += 1) {
+      for (let look = 0; look < looks && found.size < limit; look += 1) {
         const endpoint = keepers[(start + look) % keepers.length]
         if (endpoint !== undefined && accepts(endpoint)) found.add(endpoint)
       }
--- a/routing/balancer/src/region-link.ts
+++ b/routing/balancer/src/region-link.ts
@@ -28,7 +28,7 @@
   /** What the link carries each way, in Mbit/s, of all traffic together. */
   mbitPerS?: number | undefined
   /** How many entries share it. */
-  entries: () => number
+  entryCount: () => number
   now?: () => number
 }
 
@@ -57,21 +57,21 @@
   }
 
   /** Notes bytes that cross; negative where fewer came than were noted before. */
-  take (bytes: number): void {
+  recordBytes (bytes: number): void {
     this.takenBytes = Math.max(0, this.taken() + bytes)
     this.takenAt = this.now()
   }
 
   /** Notes how long it took to connect to another region; more traffic than the link carries shows here. */
-  noteRoundTrip (ms: number): void {
+  recordRoundTrip (ms: number): void {
     this.roundTripMs = this.isMeasured ? this.roundTripMs + ROUND_TRIP_WEIGHT * (ms - this.roundTripMs) : ms
     this.isMeasured = true
   }
 
   /** This entry's part of the link. */
   private get bytesPerMs (): number {
-    const { mbitPerS = DEFAULT_MBIT_PER_S, entries } = this.options
-    return SHARE_FOR_REQUESTS * mbitPerS * 1e6 / BITS_PER_BYTE / MS_PER_S / Math.max(1, entries())
+    const { mbitPerS = DEFAULT_MBIT_PER_S, entryCount } = this.options
+    return SHARE_FOR_REQUESTS * mbitPerS * 1e6 / BITS_PER_BYTE / MS_PER_S / Math.max(1, entryCount())
   }
 
   private taken (): number {
--- a/routing/balancer/src/rendezvous.ts
+++ b/routing/balancer/src/rendezvous.ts
@@ -5,7 +5,7 @@
 const FNV_PRIME = 0x01000193
 
 /** Gives the candidate that a subject prefers; losing one candidate moves only its own subjects. */
-export function rendezvousFirst<T> (subject: string, candidates: readonly T[], nameOf: (candidate: T) => string): T | undefined {
+export function selectByRendezvous<T> (subject: string, candidates: readonly T[], nameOf: (candidate: T) => string): T | undefined {
   const seed = fnv1a(subject, FNV_OFFSET)
   let first: T | undefined
   let highest = -1
@@ -19,12 +19,12 @@
 }
 
 /** A rank of a name that says nothing else of it; entries agree on it. */
-export function rankOf (name: string): number {
+export function hashName (name: string): number {
   return mixed(fnv1a(name, FNV_OFFSET))
 }
 
 /** A rank of a pair of ranks; entries agree on it. */
-export function pairRank (left: number, right: number): number {
+export function hashPair (left: number, right: number): number {
   return mixed(left ^ Math.imul(right, FNV_PRIME))
 }
 
