--- a/routing/balancer/src/reserved-engines.ts
+++ b/routing/balancer/src/reserved-engines.ts
@@ -4,10 +4,10 @@
  * times as long. They fit on few engines of their own. How many follows from how many such streams run; which ones follows
  * from the names of the engines, so that entries agree without talking to each other.
  */
-import { WEIGH_ALL_UP_TO } from './candidate-set.ts'
+import { SCORE_ALL_LIMIT } from './candidate-set.ts'
 import { type EndpointPool } from './endpoint-pool.ts'
 import { type EndpointState } from './endpoint-state.ts'
-import { strainOf } from './strain.ts'
+import { pauseSensitivityOf } from './pause-sensitivity.ts'
 
 /** Streams that suffer this much from reading are sensitive: the pauses of engines that read come near to two thirds of what they bear. */
 const SENSITIVE_STRAIN = 0.25
@@ -32,7 +32,7 @@
 export interface StreamKind {
   route: string
   /** The longest pause between events that it bears, in ms; none where the route sets none. */
-  pauseMs: number | undefined
+  maxPauseMs: number | undefined
 }
 
 /** What the number of reserved engines follows from. */
@@ -46,7 +46,7 @@
 /** Where engines may be reserved. */
 export interface ReservationOptions {
   /** Whether a data centre may have work. */
-  mayGoTo?: (dataCentre: string) => boolean
+  isDataCentreAllowed?: (dataCentre: string) => boolean
   /** The region of a data centre; each region reserves engines for its own streams, which stay there. */
   regionOf?: (dataCentre: string) => string
 }
@@ -79,13 +79,13 @@
   private readonly pauses = new Map<string, number>()
 
   /** Notes a request of a route. */
-  noteRequest ({ route }: Pick<StreamKind, 'route'>, ownTokens: number): void {
+  recordRequest ({ route }: Pick<StreamKind, 'route'>, ownTokens: number): void {
     const known = this.ownTokens.get(route) ?? ownTokens
     this.ownTokens.set(route, known + OWN_TOKENS_WEIGHT * (ownTokens - known))
   }
 
   /** Of how many routes something is kept. */
-  get knownRoutes (): number {
+  get routeCount (): number {
     return this.ownTokens.size
   }
 
@@ -105,14 +105,14 @@
   }
 
   /** Whether requests of a route are sensitive to reading and read little themselves. */
-  isSensitive ({ route, pauseMs }: StreamKind, service: string): boolean {
+  isPauseSensitive ({ route, maxPauseMs }: StreamKind, service: string): boolean {
     const readingPauseMs = this.pauses.get(service)
-    if (pauseMs === undefined || readingPauseMs === undefined) return false
-    return strainOf(pauseMs, readingPauseMs) > SENSITIVE_STRAIN && (this.ownTokens.get(route) ?? Infinity) <= SHORT_READ_TOKENS
+    if (maxPauseMs === undefined || readingPauseMs === undefined) return false
+    return pauseSensitivityOf(maxPauseMs, readingPauseMs) > SENSITIVE_STRAIN && (this.ownTokens.get(route) ?? Infinity) <= SHORT_READ_TOKENS
   }
 
   /** The engines of a service that are reserved for sensitive streams now. */
-  of (service: string): ReadonlySet<EndpointState> {
+  get (service: string): ReadonlySet<EndpointState> {
     return this.byService.get(service) ?? NONE
   }
 
@@ -131,7 +131,7 @@
       this.byService.delete(service)
       return
     }
-    this.pauses.set(service, mean(engines.map(({ reading }) => reading.pauseMs)))
+    this.pauses.set(service, mean(engines.map(({ prefill }) => prefill.pauseMs)))
     this.byService.set(service, new Set(reserved.flatMap((among) => among ?? [])))
   }
 
@@ -139,35 +139,37 @@
    * The same for the engines of a service in the data centres that may have work. A large fleet is not gone through: sums are
    * kept, each region reserves in proportion to its engines, and the set is made anew only where it changes.
    */
-  updateFrom (service: string, pool: EndpointPool, { mayGoTo = () => true, regionOf = () => '' }: ReservationOptions = {}): void {
-    if (pool.size <= WEIGH_ALL_UP_TO) {
-      this.update(service, pool.members.items.filter(({ description }) => mayGoTo(description.dataCentre)), regionOf)
+  updateFromPool (service: string, pool: EndpointPool, { isDataCentreAllowed = () => true, regionOf = () => '' }: ReservationOptions = {}): void {
+    if (pool.size <= SCORE_ALL_LIMIT) {
+      this.update(service, pool.members.items.filter(({ description }) => isDataCentreAllowed(description.dataCentre)), regionOf)
       return
     }
-    const { size, census: { meanSlots, meanPauseMs, sensitive } } = pool
-    const count = this.countFor(`/${service}`, { size, meanSlots, sensitive })
+    const { size, totals: { meanSlots, meanPauseMs, pauseSensitiveStreams } } = pool
+    const count = this.countFor(`/${service}`, { size, meanSlots, sensitive: pauseSensitiveStreams })
     if (count === undefined) {
       this.byService.delete(service)
       return
     }
     this.pauses.set(service, meanPauseMs)
-    this.byService.set(service, this.firstOf(service, pool, { count, mayGoTo, regionOf }))
+    this.byService.set(service, this.firstOf(service, pool, { count, isDataCentreAllowed, regionOf }))
   }
 
-  private firstOf (service: string, pool: EndpointPool, { count, mayGoTo, regionOf }: LargeReservation): ReadonlySet<EndpointState> {
-    const places = [...pool.places].map(({ dataCentre }) => dataCentre).filter(mayGoTo).join(' ')
+  private firstOf (
+    service: string, pool: EndpointPool, { count, isDataCentreAllowed, regionOf }: LargeReservation
+  ): ReadonlySet<EndpointState> {
+    const places = [...pool.dataCentrePools].map(({ dataCentre }) => dataCentre).filter(isDataCentreAllowed).join(' ')
     const known = this.firsts.get(service)
     if (known?.version === pool.version && known.count === count && known.places === places) return known.engines
     const left = new Map<string, number>()
-    for (const { dataCentre, members } of pool.places) {
+    for (const { dataCentre, members } of pool.dataCentrePools) {
       const region = regionOf(dataCentre)
       left.set(region, (left.get(region) ?? 0) + count * members.items.length / pool.size)
     }
     const engines = new Set<EndpointState>()
-    for (const engine of pool.byRank.items) {
+    for (const engine of pool.byReservationRank.items) {
       const region = regionOf(engine.description.dataCentre)
       const quota = left.get(region) ?? 0
-      if (quota < ROUNDED || !mayGoTo(engine.description.dataCentre)) continue
+      if (quota < ROUNDED || !isDataCentreAllowed(engine.description.dataCentre)) continue
       left.set(region, quota - 1)
       engines.add(engine)
     }
@@ -180,7 +182,7 @@
     const count = this.countFor(key, {
       size: engines.length,
       meanSlots: mean(engines.map(({ description }) => description.slots)),
-      sensitive: engines.reduce((sum, engine) => sum + engine.sensitive, 0)
+      sensitive: engines.reduce((sum, engine) => sum + engine.pauseSensitiveStreams, 0)
     })
     return count === undefined ? undefined : byRank(engines).slice(0, count)
   }
--- a/routing/balancer/src/retry-budget.ts
+++ b/routing/balancer/src/retry-budget.ts
@@ -12,7 +12,7 @@
   /** Repeats allowed beyond the ratio, over all entries together. */
   slack: number
   /** How many entries share the slack. */
-  entries: () => number
+  entryCount: () => number
   now?: () => number
 }
 
@@ -33,24 +33,24 @@
     this.now = options.now ?? (() => performance.now())
   }
 
-  noteRequest (): void {
+  recordRequest (): void {
     this.bucket().requests += 1
   }
 
   /** Takes one repeat from the budget; false if there is none left. */
-  take (): boolean {
-    if (this.left < 1) return false
+  tryTake (): boolean {
+    if (this.remaining < 1) return false
     this.bucket().repeats += 1
     return true
   }
 
   /** How many repeats may still be sent now. */
-  get left (): number {
+  get remaining (): number {
     this.bucket()
     const requests = sum(this.buckets, (bucket) => bucket.requests)
     const repeats = sum(this.buckets, (bucket) => bucket.repeats)
-    const { ratio, slack, entries } = this.options
-    return SAFETY * (ratio * requests + slack / Math.max(1, entries())) - repeats
+    const { ratio, slack, entryCount } = this.options
+    return SAFETY * (ratio * requests + slack / Math.max(1, entryCount())) - repeats
   }
 
   private bucket (): Bucket {
--- a/routing/balancer/src/sorted-list.ts
+++ b/routing/balancer/src/sorted-list.ts
@@ -16,20 +16,20 @@
 
   add (item: T): void {
     const key = this.keyOf(item)
-    const at = this.firstFrom(key)
+    const at = this.lowerBound(key)
     this.list.splice(at, 0, item)
     this.listKeys.splice(at, 0, key)
   }
 
   remove (item: T): void {
-    const at = this.list.indexOf(item, this.firstFrom(this.keyOf(item)))
+    const at = this.list.indexOf(item, this.lowerBound(this.keyOf(item)))
     if (at < 0) return
     this.list.splice(at, 1)
     this.listKeys.splice(at, 1)
   }
 
   /** The index of the first item whose key is at least so high; the length if there is none. */
-  firstFrom (key: number): number {
+  lowerBound (key: number): number {
     let low = 0
     let high = this.listKeys.length
     while (low < high) {
--- a/routing/balancer/test/candidate-set.test.ts
+++ b/routing/balancer/test/candidate-set.test.ts
@@ -1,16 +1,16 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { candidateSet, choose, WEIGH_ALL_UP_TO, weigh, type Candidate, type Choosable, type Demand, type EndpointState } from '@gullwall/routing.balancer'
-import { Fleet, LATER, SERVICE } from './fleet.ts'
+import { selectCandidates, choose, SCORE_ALL_LIMIT, scoreEndpoints, type Candidate, type CandidateScope, type ChoiceRequest, type EndpointState } from '@gullwall/routing.balancer'
+import { Fleet, LATER, SERVICE } from './endpoint-fixture.ts'
 
 const SEED = Number(process.env['FUZZ_SEED'] ?? 11)
 const SETTINGS = { seed: SEED, numRuns: 60 }
 const FLEETS = 200
 const seeds = fc.integer({ min: 1, max: 1_000_000 })
 
-function chosenOf (demand: Demand, choosable: Choosable): Candidate | undefined {
-  const { endpoints, homes, sources } = candidateSet(demand, choosable)
-  return choose({ ...demand, homes, sources }, endpoints, LATER)
+function chosenOf (demand: ChoiceRequest, choosable: CandidateScope): Candidate | undefined {
+  const { endpoints, affinityEndpoints, copySources } = selectCandidates(demand, choosable)
+  return choose({ ...demand, affinityEndpoints, copySources }, endpoints, LATER)
 }
 
 /** A difference between endpoints themselves would take minutes to print. */
@@ -22,14 +22,14 @@
   return candidate === undefined ? undefined : { ...candidate, endpoint: nameOf(candidate.endpoint), source: nameOf(candidate.source) }
 }
 
-function excessesOf (demandOf: (fleet: Fleet) => Demand): { mean: number, nineInTen: number } {
+function excessesOf (demandOf: (fleet: Fleet) => ChoiceRequest): { mean: number, nineInTen: number } {
   const excesses = Array.from({ length: FLEETS }, (_, index) => {
     const fleet = new Fleet(97 + (index * 53) % 1400, SEED * 1000 + index).load()
     const demand = demandOf(fleet)
-    const { endpoints, homes } = candidateSet(demand, fleet.choosable())
+    const { endpoints, affinityEndpoints } = selectCandidates(demand, fleet.choosable())
     expect(endpoints.length).toBeLessThanOrEqual(30)
-    const best = choose({ ...demand, homes }, fleet.endpoints, LATER)
-    return (choose({ ...demand, homes }, endpoints, LATER)?.cost ?? Infinity) - (best?.cost ?? 0)
+    const best = choose({ ...demand, affinityEndpoints }, fleet.endpoints, LATER)
+    return (choose({ ...demand, affinityEndpoints }, endpoints, LATER)?.cost ?? Infinity) - (best?.cost ?? 0)
   }).sort((left, right) => left - right)
   return { mean: excesses.reduce((sum, excess) => sum + excess, 0) / FLEETS, nineInTen: excesses[Math.floor(0.9 * FLEETS)] ?? Infinity }
 }
@@ -37,14 +37,14 @@
 describe('the candidates of a choice', () => {
   it('are all that the rules allow on a small fleet, in the same order, so that the choice is that of weighing all', () => {
     console.log(`seed ${SEED}`)
-    fc.assert(fc.property(seeds, fc.integer({ min: 1, max: WEIGH_ALL_UP_TO }), fc.boolean(), (seed, size, isBarred) => {
+    fc.assert(fc.property(seeds, fc.integer({ min: 1, max: SCORE_ALL_LIMIT }), fc.boolean(), (seed, size, isBarred) => {
       const fleet = new Fleet(size, seed).load()
-      const demand = fleet.demand({ trustsHome: seed % 2 === 0, excluded: new Set(['i-1']) })
+      const demand = fleet.demand({ isAffinityTrusted: seed % 2 === 0, excluded: new Set(['i-1']) })
       const mayGoTo = (dataCentre: string) => !isBarred || dataCentre !== 'dc2'
       const allowed = fleet.endpoints.filter(({ description }) => mayGoTo(description.dataCentre))
-      const all = choose({ ...demand, sources: allowed }, allowed, LATER)
-      expect(candidateSet(demand, fleet.choosable({ mayGoTo })).endpoints.map(nameOf)).toEqual(allowed.map(nameOf))
-      expect(toldOf(chosenOf(demand, fleet.choosable({ mayGoTo })))).toEqual(toldOf(all))
+      const all = choose({ ...demand, copySources: allowed }, allowed, LATER)
+      expect(selectCandidates(demand, fleet.choosable({ isDataCentreAllowed: mayGoTo })).endpoints.map(nameOf)).toEqual(allowed.map(nameOf))
+      expect(toldOf(chosenOf(demand, fleet.choosable({ isDataCentreAllowed: mayGoTo })))).toEqual(toldOf(all))
     }), SETTINGS)
   })
 
@@ -62,7 +62,7 @@
       const fleet = new Fleet(800, seed)
       const keeper = fleet.endpoints[seed % fleet.size]
       const demand = fleet.demand()
-      keeper?.prefixes.note(demand.prompt, 0)
+      keeper?.prefixCache.record(demand.prompt, 0)
       const chosen = chosenOf(demand, fleet.choosable())
       expect([nameOf(chosen?.endpoint), chosen?.unreadTokens]).toEqual([nameOf(keeper), 0])
     }), SETTINGS)
@@ -76,8 +76,8 @@
         other.index.setUsable(endpoint, false)
         other.index.setUsable(endpoint, true)
       }
-      const demand = fleet.demand({ trustsHome: true })
-      const homes = [fleet, other].map((one) => candidateSet(demand, one.choosable()).homes?.[0]?.description.incarnation)
+      const demand = fleet.demand({ isAffinityTrusted: true })
+      const homes = [fleet, other].map((one) => selectCandidates(demand, one.choosable()).affinityEndpoints?.[0]?.description.incarnation)
       expect(homes[0]).toBeDefined()
       expect(homes[1]).toBe(homes[0])
       expect(chosenOf(demand, fleet.choosable())?.endpoint.description.incarnation).toBe(homes[0])
@@ -87,7 +87,7 @@
   it('lose hardly more homes than those of an endpoint that is lost, and share them evenly', () => {
     const fleet = new Fleet(500, SEED)
     const subjects = Array.from({ length: 5000 }, (_, index) => [{ id: `s-${index}`, tokens: 100 }, { id: 'own', tokens: 10 }])
-    const homes = () => subjects.map((prompt) => candidateSet(fleet.demand({ prompt }), fleet.choosable()).homes?.[0])
+    const homes = () => subjects.map((prompt) => selectCandidates(fleet.demand({ prompt }), fleet.choosable()).affinityEndpoints?.[0])
     const before = homes()
     const counts = fleet.endpoints.map((endpoint) => before.filter((home) => home === endpoint).length)
     expect(Math.max(...counts)).toBeLessThan(40)
@@ -101,19 +101,21 @@
     fc.assert(fc.property(seeds, (seed) => {
       const fleet = new Fleet(300, seed).load(1.4)
       const demand = fleet.demand({ excluded: new Set(['i-4', 'i-8']) })
-      for (const endpoint of fleet.endpoints) if (fleet.random() < 0.3) endpoint.prefixes.note(demand.prompt, 0)
+      for (const endpoint of fleet.endpoints) if (fleet.random() < 0.3) endpoint.prefixCache.record(demand.prompt, 0)
       const lost = fleet.endpoints.filter(() => fleet.random() < 0.2)
       for (const endpoint of lost) fleet.index.setUsable(endpoint, false)
       const isCold = new Set(fleet.endpoints.filter(() => fleet.random() < 0.5))
-      const rules: Partial<Choosable> = { mayGoTo: (dataCentre: string) => dataCentre !== 'dc1', accepts: (endpoint: Candidate['endpoint']) => !isCold.has(endpoint) }
-      const { endpoints, homes = [], sources } = candidateSet(demand, fleet.choosable(rules))
+      const rules: Partial<CandidateScope> = { isDataCentreAllowed: (dataCentre: string) => dataCentre !== 'dc1', isAllowed: (endpoint: Candidate['endpoint']) => !isCold.has(endpoint) }
+      const { endpoints, affinityEndpoints = [], copySources } = selectCandidates(demand, fleet.choosable(rules))
       expect(endpoints.length).toBeGreaterThan(0)
-      for (const endpoint of [...endpoints, ...sources, ...homes]) {
+      for (const endpoint of [...endpoints, ...copySources, ...affinityEndpoints]) {
         expect(endpoint.description.dataCentre).not.toBe('dc1')
         expect(isCold.has(endpoint)).toBe(false)
         expect(lost.includes(endpoint)).toBe(false)
       }
-      for (const { endpoint } of weigh(demand, endpoints, LATER)) expect(demand.excluded.has(endpoint.description.incarnation)).toBe(false)
+      for (const { endpoint } of scoreEndpoints(demand, endpoints, LATER)) {
+        expect(demand.excluded.has(endpoint.description.incarnation)).toBe(false)
+      }
     }), SETTINGS)
   })
 
@@ -123,7 +125,7 @@
       const fleet = new Fleet(1000, seed)
       for (const endpoint of fleet.endpoints) {
         const running = fleet.random() < 0.02 ? 0 : 64
-        endpoint.others = { unread: [], running, strain: 0, sensitive: 0, unreachable: 0 }
+        endpoint.othersLoad = { unread: [], running, strain: 0, sensitive: 0, unreachable: 0 }
       }
       if (chosenOf(fleet.demand(), fleet.choosable()) !== undefined) found += 1
     }
@@ -132,9 +134,9 @@
 
   it('are reserved engines for sensitive streams, and others for all else', () => {
     const fleet = new Fleet(400, SEED)
-    const reserved = new Set(fleet.index.pool(SERVICE).byRank.items.slice(0, 5))
+    const reserved = new Set(fleet.index.pool(SERVICE).byReservationRank.items.slice(0, 5))
     const [sensitive, other] = [true, false].map((isSensitive) => {
-      const chosen = chosenOf(fleet.demand({ isSensitive, reserved }), fleet.choosable())
+      const chosen = chosenOf(fleet.demand({ isPauseSensitive: isSensitive, reserved }), fleet.choosable())
       return chosen !== undefined && reserved.has(chosen.endpoint)
     })
     expect([sensitive, other]).toEqual([true, false])
--- a/routing/balancer/test/distance.test.ts
+++ b/routing/balancer/test/cross-region.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { choose, EndpointState, RegionLink, ReservedEngines, weigh, type Demand, type PromptPart } from '@gullwall/routing.balancer'
+import { choose, EndpointState, RegionLink, ReservedEngines, scoreEndpoints, type ChoiceRequest, type PromptPart } from '@gullwall/routing.balancer'
 
 const LATER = 10_000
 const SLOTS = 64
@@ -8,19 +8,19 @@
 const SMALL_MS = 50
 const LARGE_MS = 240
 const regionOf = (dataCentre: string) => dataCentre[0] ?? ''
-const demand: Demand = {
+const demand: ChoiceRequest = {
   prompt: [SUBJECT, { id: 'own', tokens: 500 }],
   dataCentre: 'n1',
-  crossing: { regionOf, costMs: SMALL_MS },
+  regions: { regionOf, crossRegionCostMs: SMALL_MS },
   tier: 1,
   isResumed: false,
   needsSlot: true,
   targetMs: 2000,
-  pauseMs: undefined,
+  maxPauseMs: undefined,
   excluded: new Set(),
-  sources: [],
-  trustsHome: false,
-  isSensitive: false,
+  copySources: [],
+  isAffinityTrusted: false,
+  isPauseSensitive: false,
   reserved: new Set()
 }
 
@@ -36,7 +36,7 @@
 
 /** Other entries run so many requests there. */
 function fill (endpoint: EndpointState, running: number): void {
-  endpoint.others = { unread: [], running, strain: 0, sensitive: 0, unreachable: 0 }
+  endpoint.othersLoad = { unread: [], running, strain: 0, sensitive: 0, unreachable: 0 }
 }
 
 describe('a request in a deployment of two regions', () => {
@@ -47,7 +47,7 @@
       const prompt = [{ id: `subject-${index}`, tokens: 8000 }, { id: 'own', tokens: 500 }]
       const chosen = choose({ ...demand, prompt }, all, LATER)
       expect(chosen?.endpoint).toSatisfy(isNorth)
-      expect(chosen?.leaving).toBeUndefined()
+      expect(chosen?.crossRegion).toBeUndefined()
     }
   })
 
@@ -56,22 +56,22 @@
     for (const endpoint of all.filter(isNorth)) fill(endpoint, 0.9 * SLOTS)
     const chosen = choose({ ...demand, prompt: [{ id: 'own', tokens: 500 }] }, all, LATER)
     expect(chosen?.endpoint).not.toSatisfy(isNorth)
-    expect(chosen?.leaving).toMatchObject({ region: 's', costMs: 300 + SMALL_MS })
-    expect(chosen?.leaving?.stayCost).toBeGreaterThan(chosen?.cost ?? Infinity)
+    expect(chosen?.crossRegion).toMatchObject({ region: 's', costMs: 300 + SMALL_MS })
+    expect(chosen?.crossRegion?.localCost).toBeGreaterThan(chosen?.cost ?? Infinity)
   })
 
   it('leaves it where no engine there takes it, and not where the link has no room', () => {
     const all = fleet()
     for (const endpoint of all.filter(isNorth)) fill(endpoint, SLOTS)
-    expect(choose(demand, all, LATER)?.leaving).toMatchObject({ region: 's', stayCost: undefined })
-    expect(choose({ ...demand, crossing: { regionOf, costMs: undefined } }, all, LATER)).toBeUndefined()
+    expect(choose(demand, all, LATER)?.crossRegion).toMatchObject({ region: 's', localCost: undefined })
+    expect(choose({ ...demand, regions: { regionOf, crossRegionCostMs: undefined } }, all, LATER)).toBeUndefined()
   })
 
   it('leaves it the sooner the fewer bytes it is', () => {
     const crossesAt = (costMs: number) => Array.from({ length: SLOTS }, (_unused, running) => running).find((running) => {
       const all = fleet()
       for (const endpoint of all.filter(isNorth)) fill(endpoint, running)
-      return choose({ ...demand, prompt: [], crossing: { regionOf, costMs } }, all, LATER)?.leaving !== undefined
+      return choose({ ...demand, prompt: [], regions: { regionOf, crossRegionCostMs: costMs } }, all, LATER)?.crossRegion !== undefined
     }) ?? Infinity
     expect(crossesAt(SMALL_MS)).toBeGreaterThan(0.6 * SLOTS)
     expect(crossesAt(SMALL_MS)).toBeLessThan(crossesAt(LARGE_MS))
@@ -80,8 +80,8 @@
   it('has the shared parts of its prompt read again in the other region rather than copied from its own', () => {
     const all = fleet()
     const [home] = all
-    home?.prefixes.note([SUBJECT], 0)
-    const weighed = weigh({ ...demand, sources: all }, all, LATER)
+    home?.prefixCache.record([SUBJECT], 0)
+    const weighed = scoreEndpoints({ ...demand, copySources: all }, all, LATER)
     for (const { endpoint, source, unreadTokens } of weighed.filter((candidate) => candidate.endpoint !== home)) {
       expect([source, unreadTokens]).toEqual(isNorth(endpoint) ? [home, 500] : [undefined, 8500])
     }
@@ -91,8 +91,8 @@
     const all = fleet()
     for (let index = 0; index < 50; index += 1) {
       const prompt = [{ id: `subject-${index}`, tokens: 8000 }, { id: 'own', tokens: 500 }]
-      const homesFrom = (dataCentre: string) => weigh({ ...demand, prompt, dataCentre }, all, LATER)
-        .filter(({ isHome }) => isHome).map(({ endpoint }) => endpoint)
+      const homesFrom = (dataCentre: string) => scoreEndpoints({ ...demand, prompt, dataCentre }, all, LATER)
+        .filter(({ isAffinityEndpoint }) => isAffinityEndpoint).map(({ endpoint }) => endpoint)
       const homes = homesFrom('n1')
       expect(homes.map(isNorth).sort()).toEqual([false, true])
       expect(homesFrom('s2')).toEqual(homes)
@@ -101,16 +101,16 @@
 
   it('weighs as ever where there is one region only', () => {
     const all = fleet()
-    const everywhere = weigh({ ...demand, crossing: undefined }, all, LATER)
-    expect(weigh({ ...demand, crossing: { regionOf: () => 'one', costMs: undefined } }, all, LATER)).toEqual(everywhere)
-    expect(everywhere.filter(({ isHome }) => isHome).length).toBe(1)
+    const everywhere = scoreEndpoints({ ...demand, regions: undefined }, all, LATER)
+    expect(scoreEndpoints({ ...demand, regions: { regionOf: () => 'one', crossRegionCostMs: undefined } }, all, LATER)).toEqual(everywhere)
+    expect(everywhere.filter(({ isAffinityEndpoint }) => isAffinityEndpoint).length).toBe(1)
   })
 })
 
 it('a sensitive stream does not leave for engines that only the other region reserves', () => {
   const all = fleet()
   const reserved = new Set(all.filter((endpoint) => !isNorth(endpoint)).slice(0, 1))
-  const chosen = choose({ ...demand, prompt: [{ id: 'own', tokens: 300 }], isSensitive: true, reserved }, all, LATER)
+  const chosen = choose({ ...demand, prompt: [{ id: 'own', tokens: 300 }], isPauseSensitive: true, reserved }, all, LATER)
   expect(chosen?.endpoint).toSatisfy(isNorth)
 })
 
@@ -118,10 +118,10 @@
   const all = fleet()
   const busy = all.find(isNorth)
   if (busy === undefined) throw new Error('no engine')
-  busy.others = { unread: [], running: 10, strain: 5, sensitive: 10, unreachable: 0 }
+  busy.othersLoad = { unread: [], running: 10, strain: 5, sensitive: 10, unreachable: 0 }
   const reserved = new ReservedEngines()
   reserved.update('lm', all, regionOf)
-  expect([...reserved.of('lm')].map(isNorth)).toEqual([true])
+  expect([...reserved.get('lm')].map(isNorth)).toEqual([true])
 })
 
 describe('the link between two regions', () => {
@@ -129,7 +129,7 @@
   /** Half of the link of 40 Mbit/s, for ten entries. */
   const PART_BYTES_PER_S = 250_000
   let now = 0
-  const link = () => new RegionLink({ mbitPerS: 40, entries: () => ENTRIES, now: () => now })
+  const link = () => new RegionLink({ mbitPerS: 40, entryCount: () => ENTRIES, now: () => now })
 
   it('takes no more of requests than their share, whatever is asked for', () => {
     const busy = link()
@@ -138,7 +138,7 @@
     for (; now < from + 10_000; now += 1) {
       for (const bytes of [1000, 9000, 50_000]) {
         if (busy.costMs(bytes) === undefined) continue
-        busy.take(bytes)
+        busy.recordBytes(bytes)
         sent += bytes
       }
     }
@@ -150,7 +150,7 @@
     const busy = link()
     const atRest = busy.costMs(4000) ?? Infinity
     expect(busy.costMs(8000)).toBeGreaterThan(atRest)
-    busy.take(0.9 * PART_BYTES_PER_S)
+    busy.recordBytes(0.9 * PART_BYTES_PER_S)
     expect(busy.costMs(4000)).toBeGreaterThan(5 * atRest)
     expect(busy.costMs(50_000)).toBeUndefined()
     now += 1000
@@ -160,7 +160,7 @@
   it('takes what is larger than a whole part when nothing else crosses, and longer answers off what comes next', () => {
     const busy = link()
     expect(busy.costMs(2 * PART_BYTES_PER_S)).toBeGreaterThan(0)
-    busy.take(2 * PART_BYTES_PER_S)
+    busy.recordBytes(2 * PART_BYTES_PER_S)
     now += 1500
     expect(busy.costMs(200_000)).toBeUndefined()
     now += 500
@@ -170,7 +170,7 @@
   it('costs what its round trips are measured to take', () => {
     const slow = link()
     const before = slow.costMs(1000) ?? 0
-    for (let count = 0; count < 30; count += 1) slow.noteRoundTrip(120)
+    for (let count = 0; count < 30; count += 1) slow.recordRoundTrip(120)
     expect(slow.costMs(1000)).toBeCloseTo(before + 100)
   })
 })
--- a/routing/balancer/test/fleet.ts
+++ b/routing/balancer/test/endpoint-fixture.ts
@@ -1,7 +1,7 @@
 /** Fleets under random load, for tests of the choice. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
-import { EndpointIndex, EndpointState, type Choosable, type Demand, type PromptPart } from '@gullwall/routing.balancer'
+import { EndpointIndex, EndpointState, type CandidateScope, type ChoiceRequest, type PromptPart } from '@gullwall/routing.balancer'
 
 export const SERVICE = 'lm'
 export const LATER = 10_000
@@ -25,14 +25,14 @@
   /** Gives each endpoint some work of others and some subjects. */
   load (fill = 0.9): this {
     for (const endpoint of this.endpoints) {
-      endpoint.others = {
+      endpoint.othersLoad = {
         unread: [{ urgency: 3, tokens: Math.round(20_000 * this.random() ** 3) }],
         running: Math.round(fill * SLOTS * this.random()),
         strain: 2 * this.random(),
         sensitive: 0,
         unreachable: 0
       }
-      for (let kept = 0; kept < 3; kept += 1) endpoint.prefixes.note([this.subject()], 0)
+      for (let kept = 0; kept < 3; kept += 1) endpoint.prefixCache.record([this.subject()], 0)
     }
     return this
   }
@@ -41,7 +41,7 @@
     return { id: `subject-${Math.floor(this.size * this.random())}`, tokens: 6300 }
   }
 
-  demand (changes: Partial<Demand> = {}): Demand {
+  demand (changes: Partial<ChoiceRequest> = {}): ChoiceRequest {
     return {
       prompt: [this.subject(), { id: `own-${this.random()}`, tokens: 2900 }],
       dataCentre: 'dc0',
@@ -49,18 +49,25 @@
       isResumed: false,
       needsSlot: true,
       targetMs: 1500,
-      pauseMs: 1000,
+      maxPauseMs: 1000,
       excluded: new Set(),
-      sources: [],
-      trustsHome: false,
-      isSensitive: false,
+      copySources: [],
+      isAffinityTrusted: false,
+      isPauseSensitive: false,
       reserved: new Set(),
       ...changes
     }
   }
 
-  choosable (rules: Partial<Choosable> = {}): Choosable {
+  choosable (rules: Partial<CandidateScope> = {}): CandidateScope {
     const { index, random } = this
-    return { pool: index.pool(SERVICE), keepers: index.keepers, mayGoTo: () => true, accepts: () => true, random, ...rules }
+    return {
+      pool: index.pool(SERVICE),
+      prefixHolders: index.prefixHolders,
+      isDataCentreAllowed: () => true,
+      isAllowed: () => true,
+      random,
+      ...rules
+    }
   }
 }
--- a/routing/balancer/test/endpoint-index.test.ts
+++ b/routing/balancer/test/endpoint-index.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import { ReservedEngines, type EndpointState } from '@gullwall/routing.balancer'
-import { Fleet, LATER, SERVICE } from './fleet.ts'
+import { Fleet, LATER, SERVICE } from './endpoint-fixture.ts'
 
 const SEED = Number(process.env['FUZZ_SEED'] ?? 12)
 const SIZE = 12
@@ -28,9 +28,9 @@
 function apply (fleet: Fleet, usable: Set<EndpointState>, taken: Step): void {
   const endpoint = fleet.endpoints[taken.index]
   if (endpoint === undefined) return
-  if (taken.type === 'note') endpoint.prefixes.note(promptOf(taken.subject), 0)
+  if (taken.type === 'note') endpoint.prefixCache.record(promptOf(taken.subject), 0)
   if (taken.type === 'forget') fleet.index.forget(endpoint)
-  if (taken.type === 'ended') endpoint.end(endpoint.begin({ prompt: [], unreadTokens: 0, urgency: 0, strain: 0, isSensitive: false }, 0), 'ended', 0)
+  if (taken.type === 'ended') endpoint.end(endpoint.begin({ prompt: [], unreadTokens: 0, urgency: 0, pauseSensitivity: 0, isPauseSensitive: false }, 0), 'ended', 0)
   if (taken.type === 'move') {
     endpoint.description = { ...endpoint.description, dataCentre: `dc${taken.to}` }
     fleet.index.setUsable(endpoint, usable.has(endpoint))
@@ -50,15 +50,17 @@
       for (const taken of steps) apply(fleet, usable, taken)
       const pool = fleet.index.pool(SERVICE)
       expect(namesOf(pool.members.items)).toEqual(namesOf(fleet.endpoints.filter((endpoint) => usable.has(endpoint))))
-      for (const { dataCentre, members, ring } of pool.places) {
+      for (const { dataCentre, members, affinityRing } of pool.dataCentrePools) {
         const there = pool.members.items.filter(({ description }) => description.dataCentre === dataCentre)
         expect(namesOf(members.items)).toEqual(namesOf(there))
-        expect(namesOf(ring.items)).toEqual(namesOf([...there].sort((left, right) => left.homePoint - right.homePoint)))
+        expect(namesOf(affinityRing.items)).toEqual(namesOf([...there].sort((left, right) => left.affinityPoint - right.affinityPoint)))
       }
       for (let subject = 0; subject < SUBJECTS; subject += 1) {
         const prompt = promptOf(subject)
-        const keepers = fleet.index.keepers.of({ prompt, most: SIZE, accepts: () => true, random: () => 0 })
-        expect(namesOf(keepers).sort()).toEqual(namesOf(fleet.endpoints.filter(({ prefixes }) => prefixes.cachedTokens(prompt) > 0)).sort())
+        const keepers = fleet.index.prefixHolders.find({ prompt, limit: SIZE, accepts: () => true, random: () => 0 })
+        expect(namesOf(keepers).sort()).toEqual(
+          namesOf(fleet.endpoints.filter(({ prefixCache }) => prefixCache.cachedTokens(prompt) > 0)).sort()
+        )
       }
     }), { seed: SEED, numRuns: 300 })
   })
@@ -68,21 +70,21 @@
     const pool = fleet.index.pool(SERVICE)
     const [gone, ...rest] = fleet.endpoints
     for (const endpoint of rest.slice(0, 90)) {
-      endpoint.begin({ prompt: [], unreadTokens: 0, urgency: 0, strain: 0.3, isSensitive: true }, LATER)
-      endpoint.reading.learnPause(250)
-      fleet.index.count(endpoint)
+      endpoint.begin({ prompt: [], unreadTokens: 0, urgency: 0, pauseSensitivity: 0.3, isPauseSensitive: true }, LATER)
+      endpoint.prefill.learnPause(250)
+      fleet.index.updateTotals(endpoint)
     }
     if (gone !== undefined) fleet.index.setUsable(gone, false)
     const [kept, through] = [new ReservedEngines(), new ReservedEngines()]
-    kept.updateFrom(SERVICE, pool)
+    kept.updateFromPool(SERVICE, pool)
     through.update(SERVICE, rest)
-    expect(through.of(SERVICE).size).toBe(3)
-    expect(namesOf(kept.of(SERVICE))).toEqual(namesOf(through.of(SERVICE)))
-    kept.updateFrom(SERVICE, pool)
-    expect(namesOf(kept.of(SERVICE))).toEqual(namesOf(through.of(SERVICE)))
-    const [first] = kept.of(SERVICE)
+    expect(through.get(SERVICE).size).toBe(3)
+    expect(namesOf(kept.get(SERVICE))).toEqual(namesOf(through.get(SERVICE)))
+    kept.updateFromPool(SERVICE, pool)
+    expect(namesOf(kept.get(SERVICE))).toEqual(namesOf(through.get(SERVICE)))
+    const [first] = kept.get(SERVICE)
     if (first !== undefined) fleet.index.setUsable(first, false)
-    kept.updateFrom(SERVICE, pool)
-    expect(first !== undefined && kept.of(SERVICE).has(first)).toBe(false)
+    kept.updateFromPool(SERVICE, pool)
+    expect(first !== undefined && kept.get(SERVICE).has(first)).toBe(false)
   })
 })
--- a/routing/balancer/test/endpoint-state.test.ts
+++ b/routing/balancer/test/endpoint-state.test.ts
@@ -4,7 +4,7 @@
 const endpoint = () => new EndpointState({ incarnation: 'i-1', service: 'lm', address: '127.0.0.1:9000', dataCentre: 'dc1', slots: 64 })
 
 function prompt (tokens: number, urgency = 0): SentPrompt {
-  return { prompt: [{ id: `p-${tokens}`, tokens }], unreadTokens: tokens, urgency, strain: 0, isSensitive: false }
+  return { prompt: [{ id: `p-${tokens}`, tokens }], unreadTokens: tokens, urgency, pauseSensitivity: 0, isPauseSensitive: false }
 }
 
 describe('an endpoint that is silent', () => {
@@ -14,7 +14,7 @@
     state.begin(prompt(0), 10_000)
     expect(state.isSilent(11_000)).toBe(false)
     expect(state.isSilent(11_300)).toBe(true)
-    state.heardAt = 11_300
+    state.lastReceivedAt = 11_300
     expect(state.isSilent(12_000)).toBe(false)
   })
 
@@ -23,8 +23,8 @@
     const long = state.begin(prompt(40_000), 0)
     expect(state.isSilent(5000)).toBe(false)
     expect(state.isSilent(6500)).toBe(true)
-    long.hasBegun = true
-    state.heardAt = 5000
+    long.hasFirstEvent = true
+    state.lastReceivedAt = 5000
     expect(state.isSilent(6500)).toBe(true)
   })
 })
@@ -65,13 +65,13 @@
     state.begin(prompt(1000, 1), 0)
     state.begin(prompt(2000, 4), 0)
     const begun = state.begin(prompt(4000, 1), 0)
-    begun.hasBegun = true
+    begun.hasFirstEvent = true
     const unread = [{ urgency: 1, tokens: 500 }, { urgency: 7, tokens: 9000 }]
-    state.others = { unread, running: 3, strain: 0.5, sensitive: 0, unreachable: 0 }
+    state.othersLoad = { unread, running: 3, strain: 0.5, sensitive: 0, unreachable: 0 }
     expect([state.tokensAhead(0), state.tokensAhead(1), state.tokensAhead(5), state.backlogTokens]).toEqual([0, 1500, 3500, 12_500])
     expect(state.ownUnread()).toEqual([{ urgency: 1, tokens: 1000 }, { urgency: 4, tokens: 2000 }])
     expect(state.running).toBe(6)
-    expect(state.strain).toBe(0.5)
+    expect(state.pauseSensitivity).toBe(0.5)
   })
 })
 
@@ -79,9 +79,9 @@
   it('is there only once what waits to be read before it has been read, whoever sent it', () => {
     const endpoint = new EndpointState({ incarnation: 'i', service: 's', address: '127.0.0.1:1', dataCentre: 'east', slots: 64 })
     const parts = [{ id: 'subject', tokens: 13_000 }]
-    endpoint.others = { unread: [{ urgency: 3, tokens: 90_000 }], running: 9, strain: 0, sensitive: 0, unreachable: 0 }
-    endpoint.noteKept(parts, 0)
-    expect(endpoint.prefixes.copyableTokens(parts, 2000)).toBe(0)
-    expect(endpoint.prefixes.copyableTokens(parts, 4000)).toBe(13_000)
+    endpoint.othersLoad = { unread: [{ urgency: 3, tokens: 90_000 }], running: 9, strain: 0, sensitive: 0, unreachable: 0 }
+    endpoint.recordCached(parts, 0)
+    expect(endpoint.prefixCache.copyableTokens(parts, 2000)).toBe(0)
+    expect(endpoint.prefixCache.copyableTokens(parts, 4000)).toBe(13_000)
   })
 })
--- a/routing/balancer/test/failing-engine.test.ts
+++ b/routing/balancer/test/failing-engine.test.ts
@@ -1,7 +1,7 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 import { describe, expect, it } from 'vitest'
-import { choose, EndpointState, OutcomeObserver, type Demand } from '../src/index.ts'
+import { choose, EndpointState, OutcomeObserver, type ChoiceRequest } from '../src/index.ts'
 
 const SEED = Number(process.env['FUZZ_SEED'] ?? 5)
 const ENGINES = 12
@@ -23,19 +23,19 @@
   ))
 }
 
-const DEMAND: Demand = {
+const DEMAND: ChoiceRequest = {
   prompt: [],
   dataCentre: 'dc1',
   tier: 1,
   isResumed: false,
   needsSlot: true,
-  isOnce: true,
+  isSingleAttempt: true,
   targetMs: 500,
-  pauseMs: 250,
+  maxPauseMs: 250,
   excluded: new Set(),
-  sources: [],
-  trustsHome: false,
-  isSensitive: false,
+  copySources: [],
+  isAffinityTrusted: false,
+  isPauseSensitive: false,
   reserved: new Set()
 }
 
@@ -60,8 +60,8 @@
     if (isShared && now - toldAt >= TOLD_MS) {
       toldAt = now
       for (const [index, outcomes] of learnt.entries()) {
-        for (const entry of entries) outcomes.learn(entry.engines[index]?.outcomes.takeSeen() ?? { good: 0, failed: 0 }, now)
-        for (const entry of entries) entry.engines[index]?.outcomes.adopt(outcomes.shareAt(now), now)
+        for (const entry of entries) outcomes.learn(entry.engines[index]?.outcomes.takeObservations() ?? { good: 0, failed: 0 }, now)
+        for (const entry of entries) entry.engines[index]?.outcomes.adopt(outcomes.failureShareAt(now), now)
       }
     }
     const entry = entries[Math.floor(random() * ENTRIES)]
@@ -72,7 +72,9 @@
     requests += 1
     const isFailure = endpoint.description.incarnation === `i-${FAILING}` && random() < FAILURE_SHARE
     if (isFailure) failed += 1
-    const work = endpoint.begin({ prompt: [], unreadTokens: 0, urgency: 1, strain: 0, isSensitive: false, outputTokens: 10 }, now)
+    const work = endpoint.begin(
+      { prompt: [], unreadTokens: 0, urgency: 1, pauseSensitivity: 0, isPauseSensitive: false, outputTokens: 10 }, now
+    )
     running.push({ endsAt: now + RUN_MS, end: () => endpoint.end(work, isFailure ? 'failed' : 'good', now + RUN_MS) })
   }
   return failed / requests
@@ -91,8 +93,8 @@
   it('is tried again after a while without news', () => {
     const outcomes = new OutcomeObserver()
     outcomes.learn({ good: 10, failed: 10 }, 0)
-    expect(outcomes.excessAt(0)).toBeGreaterThan(0.1)
-    expect(outcomes.excessAt(20_000)).toBe(0)
+    expect(outcomes.excessFailureShareAt(0)).toBeGreaterThan(0.1)
+    expect(outcomes.excessFailureShareAt(20_000)).toBe(0)
   })
 })
 
@@ -104,16 +106,16 @@
     for (let now = 0; now < 60_000; now += 50) {
       const isFailure = uniformFloat64(generator) < 0.02
       outcomes.learn({ good: isFailure ? 0 : 1, failed: isFailure ? 1 : 0 }, now)
-      most = Math.max(most, outcomes.excessAt(now))
+      most = Math.max(most, outcomes.excessFailureShareAt(now))
     }
     expect(most).toBeLessThan(0.1)
   })
 
   it('is told once', () => {
     const outcomes = new OutcomeObserver()
-    outcomes.note(true)
-    outcomes.note(false)
-    expect(outcomes.takeSeen()).toEqual({ good: 1, failed: 1 })
-    expect(outcomes.hasSeen).toBe(false)
+    outcomes.record(true)
+    outcomes.record(false)
+    expect(outcomes.takeObservations()).toEqual({ good: 1, failed: 1 })
+    expect(outcomes.hasObservations).toBe(false)
   })
 })
--- a/routing/balancer/test/memory-replay.test.ts
+++ b/routing/balancer/test/memory-simulation.test.ts
@@ -2,8 +2,8 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import { describe, expect, it } from 'vitest'
 import { WorkloadTable } from '@gullwall/control.workload'
-import { choose, EndpointState, NO_OTHERS, OutputEstimate, sizeOf, type Demand, type PromptPart, type Work } from '@gullwall/routing.balancer'
-import { MemoryEngine, type EngineRequest, type FinishedRun } from './memory-engine.ts'
+import { choose, EndpointState, NO_OTHERS_LOAD, OutputLengthEstimator, requestSizeOf, type ChoiceRequest, type PromptPart, type InFlightRequest } from '@gullwall/routing.balancer'
+import { MemoryEngine, type EngineRequest, type FinishedRun } from './simulated-engine.ts'
 
 const SEED = Number(process.env['FUZZ_SEED'] ?? 31)
 /** Others than those on which the limits were chosen. */
@@ -23,7 +23,7 @@
 interface Arrival extends EngineRequest {
   at: number
   tier: number
-  hint: number
+  expectedTokens: number
   gateway: number
 }
 
@@ -56,7 +56,7 @@
       sharedTokens: 6300,
       ownTokens: Math.round(2900 * (0.5 + random())),
       outputTokens,
-      hint: Math.round(outputTokens * Math.exp(0.8 * normal())),
+      expectedTokens: Math.round(outputTokens * Math.exp(0.8 * normal())),
       gateway: Math.floor(GATEWAYS * random())
     })
   }
@@ -78,8 +78,8 @@
 class Replay {
   private readonly engines = Array.from({ length: ENGINES }, () => new MemoryEngine(SLOTS, MEMORY_TOKENS))
   private readonly views = Array.from({ length: GATEWAYS }, enginesOf)
-  private readonly outputs = new OutputEstimate()
-  private readonly works = new Map<number, { work: Work, endpoint: EndpointState }>()
+  private readonly outputs = new OutputLengthEstimator()
+  private readonly works = new Map<number, { work: InFlightRequest, endpoint: EndpointState }>()
   private readonly finished: FinishedRun[] = []
   private sent = 0
   private refused = 0
@@ -118,29 +118,29 @@
   private decide (arrival: Arrival, now: number): void {
     const view = this.views[arrival.gateway] ?? []
     const prompt = promptOf(arrival)
-    this.outputs.note('ask', arrival)
-    const outputTokens = this.outputs.of('ask', arrival)
-    const demand: Demand = {
+    this.outputs.record('ask', arrival)
+    const outputTokens = this.outputs.estimate('ask', arrival)
+    const demand: ChoiceRequest = {
       prompt,
       dataCentre: 'dc1',
       tier: arrival.tier,
       isResumed: false,
       needsSlot: true,
       targetMs: TARGET_MS,
-      pauseMs: 1000,
+      maxPauseMs: 1000,
       excluded: new Set(),
-      sources: [],
-      trustsHome: false,
-      isSensitive: false,
+      copySources: [],
+      isAffinityTrusted: false,
+      isPauseSensitive: false,
       reserved: new Set(),
-      size: this.heedsMemory ? sizeOf(prompt, outputTokens) : undefined
+      size: this.heedsMemory ? requestSizeOf(prompt, outputTokens) : undefined
     }
     const chosen = choose(demand, view, now)
     if (chosen === undefined && now - arrival.at < PATIENCE_MS) this.held.push(arrival)
     else if (chosen === undefined || chosen.waitMs > TARGET_MS) this.refused += 1
     else {
       const { endpoint, unreadTokens, urgency } = chosen
-      const work = endpoint.begin({ prompt, unreadTokens, urgency, strain: 0.1, isSensitive: false, outputTokens }, now)
+      const work = endpoint.begin({ prompt, unreadTokens, urgency, pauseSensitivity: 0.1, isPauseSensitive: false, outputTokens }, now)
       this.works.set(arrival.id, { work, endpoint })
       this.sent += 1
       this.engines[view.indexOf(endpoint)]?.send({ ...arrival, urgency }, now)
@@ -152,7 +152,7 @@
       const { begun, ended } = engine.advance(now)
       for (const { id } of begun) {
         const known = this.works.get(id)
-        known?.endpoint.noteEvents(known.work, now)
+        known?.endpoint.recordEvents(known.work, now)
       }
       for (const run of ended) {
         const known = this.works.get(run.request.id)
@@ -170,7 +170,7 @@
         incarnation: endpoint.description.incarnation,
         unread: endpoint.ownUnread(),
         running: endpoint.inFlight,
-        strain: endpoint.ownStrain,
+        strain: endpoint.ownPauseSensitivity,
         sensitive: 0,
         unreachable: 0,
         memory: { ...endpoint.memory.use, subjects: [...endpoint.memory.use.subjects] as [number, number] }
@@ -179,8 +179,8 @@
     for (const [source, view] of this.views.entries()) {
       for (const endpoint of view) {
         const sum = table.sumAt(endpoint.description.incarnation, (other) => other !== source)
-        endpoint.others = sum.running > 0 ? sum : NO_OTHERS
-        endpoint.sampleReading(now)
+        endpoint.othersLoad = sum.running > 0 ? sum : NO_OTHERS_LOAD
+        endpoint.samplePrefill(now)
       }
     }
   }
--- a/routing/balancer/test/rendezvous.test.ts
+++ b/routing/balancer/test/rendezvous.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { rendezvousFirst } from '../src/index.ts'
+import { selectByRendezvous } from '../src/index.ts'
 
 const ENDPOINTS = 84
 const SUBJECTS = 8400
@@ -7,7 +7,7 @@
 describe('the home of a subject', () => {
   const endpoints = Array.from({ length: ENDPOINTS }, (_unused, index) => `i-${index.toString(16).padStart(10, '0')}`)
   const subjects = Array.from({ length: SUBJECTS }, (_unused, index) => index.toString(16).padStart(8, '0'))
-  const homeOf = (subject: string, candidates: readonly string[]) => rendezvousFirst(subject, candidates, (name) => name)
+  const homeOf = (subject: string, candidates: readonly string[]) => selectByRendezvous(subject, candidates, (name) => name)
 
   it('is the same in any order of the endpoints, and none where there are none', () => {
     const reversed = [...endpoints].reverse()
--- a/routing/dispatcher/src/demand-sender.ts
+++ b/routing/dispatcher/src/demand-sender.ts
@@ -41,7 +41,7 @@
   }
 
   /** An offer takes one request off the summary at the sidecar. */
-  noteOffer (port: SidecarPort, className: string): void {
+  recordOffer (port: SidecarPort, className: string): void {
     for (const row of this.believed.get(port)?.values() ?? []) {
       if (row.class !== className || row.count === 0) continue
       row.count -= 1
@@ -49,7 +49,7 @@
     }
   }
 
-  forget (port: SidecarPort): void {
+  removeSidecar (port: SidecarPort): void {
     this.believed.delete(port)
   }
 
--- a/routing/dispatcher/src/dispatcher.ts
+++ b/routing/dispatcher/src/dispatcher.ts
@@ -14,9 +14,9 @@
 import { EndpointDirectory } from './endpoint-directory.ts'
 import { PreemptionPlanner } from './preemption.ts'
 import { RunCosts } from './run-costs.ts'
-import { refuseForRest, restMsOf } from './rest.ts'
-import { chooseSpare } from './straight-path.ts'
-import { WaitEstimate } from './wait-estimate.ts'
+import { refuseDuringBackoff, computeRemainingBackoffMs } from './requested-backoff.ts'
+import { chooseEndpointWithSpareSlot } from './spare-slot-choice.ts'
+import { WaitEstimator } from './wait-estimator.ts'
 import { type EndpointView, type Grant, type Offer, type Refusal, type RoutedRequest, type SidecarPort } from './types.ts'
 
 export interface DispatcherOptions {
@@ -32,7 +32,7 @@
 
 export interface SubmitOptions {
   /** The request ran in part or was turned away by an endpoint: it goes ahead of its organisation's others. */
-  front?: boolean
+  atFront?: boolean
 }
 
 interface Waiter {
@@ -57,7 +57,7 @@
   private readonly waiters = new Map<string, Waiter>()
   private readonly demand: DemandSender
   private readonly preemption: PreemptionPlanner
-  private readonly estimate = new WaitEstimate()
+  private readonly estimate = new WaitEstimator()
   private readonly costs = new RunCosts()
   private timer: NodeJS.Timeout | undefined
   private healthCheckedAt = 0
@@ -65,9 +65,7 @@
 
   constructor (private readonly options: DispatcherOptions) {
     this.directory = new EndpointDirectory(options.records)
-    this.demand = new DemandSender(
-      () => this.demands(), () => this.directory.ports(), (port) => this.directory.endpointCount(port)
-    )
+    this.demand = new DemandSender(() => this.demands(), () => this.directory.ports(), (port) => this.directory.endpointCount(port))
     this.preemption = new PreemptionPlanner(options.dataCentre)
   }
 
@@ -81,22 +79,22 @@
     clearInterval(this.timer)
     this.demand.stop()
     for (const waiter of [...this.waiters.values()]) {
-      this.refuse(waiter, { reason: 'stopping', why: 'this entry is stopping', retryAfterMs: MIN_RETRY_AFTER_MS })
+      this.refuse(waiter, { reason: 'stopping', explanation: 'this entry is stopping', retryAfterMs: MIN_RETRY_AFTER_MS })
     }
   }
 
-  get queued (): number {
+  get queuedCount (): number {
     return this.queue.size
   }
 
   /** Whether a request waits, and behind how many of its tier or a higher one. */
-  waitingBehind (request: RoutedRequest): number | undefined {
+  findQueuePosition (request: RoutedRequest): number | undefined {
     if (!this.waiters.has(request.id)) return undefined
     return this.queue.countAhead(request.tier, this.sharingGroups(request)) - 1
   }
 
   /** Waiting requests by class. */
-  queuedByClass (): Map<string, number> {
+  countQueuedByClass (): Map<string, number> {
     const counts = new Map<string, number>()
     for (const summary of this.queue.summaries()) {
       counts.set(summary.class, (counts.get(summary.class) ?? 0) + summary.count)
@@ -107,11 +105,11 @@
   /** Gives a request an endpoint, now or later, or refuses it. A refused request was not run. */
   submit (request: RoutedRequest, options: SubmitOptions = {}): Promise<GrantResult> {
     const now = performance.now()
-    if (this.stopping) return Promise.resolve(Left({ reason: 'stopping', why: 'this entry is stopping', retryAfterMs: MIN_RETRY_AFTER_MS }))
-    this.estimate.noteArrival(request.tier, now)
+    if (this.stopping) return Promise.resolve(Left({ reason: 'stopping', explanation: 'this entry is stopping', retryAfterMs: MIN_RETRY_AFTER_MS }))
+    this.estimate.recordArrival(request.tier, now)
     const granted = this.grantNow(request)
     if (granted !== undefined) return Promise.resolve(Right(granted))
-    const tooLong = options.front === true ? undefined : this.refuseEarly(request, now)
+    const tooLong = options.atFront === true ? undefined : this.refuseEarly(request, now)
     if (tooLong !== undefined) return Promise.resolve(Left(tooLong))
     return this.enqueue(request, options)
   }
@@ -120,12 +118,12 @@
   cancel (request: RoutedRequest): void {
     const waiter = this.waiters.get(request.id)
     if (waiter === undefined) return
-    this.refuse(waiter, { reason: 'cancelled', why: 'the caller has gone', retryAfterMs: 0 })
+    this.refuse(waiter, { reason: 'cancelled', explanation: 'the caller has gone', retryAfterMs: 0 })
   }
 
   /** A sidecar offers a free slot; it goes to whichever request is best by now. */
-  takeOffer (port: SidecarPort, offer: Offer): void {
-    this.demand.noteOffer(port, offer.class)
+  handleOffer (port: SidecarPort, offer: Offer): void {
+    this.demand.recordOffer(port, offer.class)
     const view = this.directory.get(offer.endpoint)
     const request = view?.sidecar === port ? this.bestFor(view, offer) : undefined
     if (view === undefined || request === undefined) {
@@ -142,22 +140,22 @@
   }
 
   /** Must be called once for every grant when the attempt has ended. */
-  finished (grant: Grant, inTime: boolean): void {
+  completeGrant (grant: Grant, inTime: boolean): void {
     const view = this.directory.get(grant.endpoint)
     if (view?.sidecar === grant.sidecar) {
       view.outstanding -= 1
-      view.probing = false
+      view.isProbing = false
       if (!this.bindsEarly && view.load.spare < view.load.limit) view.load.spare += 1
     }
-    if (inTime) this.health.noteSuccess(grant.endpoint)
-    else this.health.noteProbeFailure(grant.endpoint)
+    if (inTime) this.health.recordSuccess(grant.endpoint)
+    else this.health.recordProbeFailure(grant.endpoint)
     const { request } = grant
-    const correction = this.costs.settle(request.class, performance.now() - grant.grantedAt)
+    const correction = this.costs.recordActual(request.class, performance.now() - grant.grantedAt)
     this.queue.charge(request.tier, request.organisation, request.weight, correction)
   }
 
   /** An endpoint had no slot after all; none is assumed until it reports one. */
-  noteBusy (endpoint: string): void {
+  recordBusy (endpoint: string): void {
     const view = this.directory.get(endpoint)
     if (view !== undefined) view.load.spare = 0
   }
@@ -169,7 +167,7 @@
 
   removeSidecar (port: SidecarPort): void {
     this.directory.removeSidecar(port)
-    this.demand.forget(port)
+    this.demand.removeSidecar(port)
   }
 
   updateLoad (port: SidecarPort, loads: readonly EndpointLoad[]): void {
@@ -177,16 +175,16 @@
   }
 
   /** Must be called when records have changed. */
-  recordsChanged (): void {
-    this.directory.invalidate()
+  handleRecordsChange (): void {
+    this.directory.clearReachCache()
     this.demand.schedule()
   }
 
   /** The endpoints a request may use at this moment. */
-  usable (request: RoutedRequest): EndpointView[] {
-    const reach = this.directory.reachOf(request)
+  listUsableEndpoints (request: RoutedRequest): EndpointView[] {
+    const reach = this.directory.findReachableEndpoints(request)
     const fit = reach.filter((view) => this.isUsable(view))
-    const fresh = fit.filter((view) => !request.avoid.has(view.description.name))
+    const fresh = fit.filter((view) => !request.avoidedEndpoints.has(view.description.name))
     return fresh.length > 0 ? fresh : fit
   }
 
@@ -198,48 +196,48 @@
     switch (this.health.state(view.description.name)) {
       case 'healthy': return true
       case 'ejected': return false
-      case 'probing': return !view.probing
+      case 'probing': return !view.isProbing
     }
   }
 
   private grantNow (request: RoutedRequest): Grant | undefined {
     if (this.options.bindEarly !== undefined) {
-      const chosen = this.options.bindEarly(this.directory.reachOf(request))
+      const chosen = this.options.bindEarly(this.directory.findReachableEndpoints(request))
       return chosen === undefined ? undefined : this.grant(request, chosen, 'bound on arrival')
     }
     if (this.queue.hasWaiting(request.tier, this.sharingGroups(request))) return undefined
-    const chosen = chooseSpare(this.usable(request), this.options.dataCentre)
+    const chosen = chooseEndpointWithSpareSlot(this.listUsableEndpoints(request), this.options.dataCentre)
     return chosen === undefined ? undefined : this.grant(request, chosen, 'slot known free')
   }
 
   private grant (request: RoutedRequest, view: EndpointView, why: string, offerId?: string, queuedAt?: number): Grant {
     const now = performance.now()
     view.outstanding += 1
-    view.probing = this.health.state(view.description.name) === 'probing'
+    view.isProbing = this.health.state(view.description.name) === 'probing'
     if (offerId === undefined) view.load.spare = Math.max(0, view.load.spare - 1)
-    this.estimate.noteGrant(request.tier, now)
-    this.queue.charge(request.tier, request.organisation, request.weight, this.costs.assumed(request.class))
+    this.estimate.recordGrant(request.tier, now)
+    this.queue.charge(request.tier, request.organisation, request.weight, this.costs.estimate(request.class))
     const queuedMs = queuedAt === undefined ? 0 : now - queuedAt
-    return { request, endpoint: view.description.name, sidecar: view.sidecar, offerId, queuedMs, grantedAt: now, why }
+    return { request, endpoint: view.description.name, sidecar: view.sidecar, offerId, queuedMs, grantedAt: now, reason: why }
   }
 
   private refuseEarly (request: RoutedRequest, now: number): Refusal | undefined {
     if (request.late !== 'refuse') return undefined
-    const resting = refuseForRest(request, this.directory.reachOf(request), now)
+    const resting = refuseDuringBackoff(request, this.directory.findReachableEndpoints(request), now)
     if (resting !== undefined) return { ...resting, retryAfterMs: Math.max(MIN_RETRY_AFTER_MS, resting.retryAfterMs) }
     const ahead = this.queue.countAhead(request.tier, this.sharingGroups(request))
     const waitMs = this.estimate.estimateMs(request.tier, request.floor, ahead, now)
     if (waitMs === undefined || waitMs <= request.maxWaitMs) return undefined
     return {
       reason: 'wait-too-long',
-      why: `${ahead} ahead, about ${Math.round(waitMs)} ms, more than ${request.maxWaitMs} ms`,
+      explanation: `${ahead} ahead, about ${Math.round(waitMs)} ms, more than ${request.maxWaitMs} ms`,
       retryAfterMs: Math.max(MIN_RETRY_AFTER_MS, waitMs - request.maxWaitMs)
     }
   }
 
   private enqueue (request: RoutedRequest, options: SubmitOptions): Promise<GrantResult> {
     // A request that comes back has been admitted before.
-    const isFull = options.front !== true && this.queue.freshSize >= this.options.maxQueued
+    const isFull = options.atFront !== true && this.queue.unstartedSize >= this.options.maxQueued
     const shed = isFull ? this.makeRoom(request) : undefined
     if (shed !== undefined) return Promise.resolve(Left(shed))
     return new Promise((resolve) => {
@@ -260,22 +258,22 @@
    * is broken off for it only when the queue has grown well over its limit.
    */
   private makeRoom (request: RoutedRequest): Refusal | undefined {
-    const victim = this.queue.victim()
-    const refusal: Refusal = {
-      reason: 'queue-full', why: `${this.queue.size} requests wait`, retryAfterMs: MIN_RETRY_AFTER_MS
-    }
+    const victim = this.queue.findVictim()
+    const refusal: Refusal = { reason: 'queue-full', explanation: `${this.queue.size} requests wait`, retryAfterMs: MIN_RETRY_AFTER_MS }
     if (victim === undefined || victim.item.tier <= request.tier) return refusal
     const mayGrow = victim.isResumed && this.queue.size < this.options.maxQueued * RESUMED_ROOM_FACTOR
     if (mayGrow) return undefined
     const waiter = this.waiters.get(victim.item.id)
-    if (waiter !== undefined) this.refuse(waiter, { ...refusal, why: `shed for a request of tier ${request.tier}` })
+    if (waiter !== undefined) this.refuse(waiter, { ...refusal, explanation: `shed for a request of tier ${request.tier}` })
     return undefined
   }
 
   private expire (waiter: Waiter): void {
     const { request } = waiter
-    const retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, restMsOf(this.directory.reachOf(request), performance.now()))
-    this.refuse(waiter, { reason: 'wait-passed', why: `no endpoint within ${request.maxWaitMs} ms`, retryAfterMs })
+    const retryAfterMs = Math.max(
+      MIN_RETRY_AFTER_MS, computeRemainingBackoffMs(this.directory.findReachableEndpoints(request), performance.now())
+    )
+    this.refuse(waiter, { reason: 'wait-passed', explanation: `no endpoint within ${request.maxWaitMs} ms`, retryAfterMs })
   }
 
   private refuse (waiter: Waiter, refusal: Refusal): void {
@@ -293,29 +291,31 @@
   private bestFor (view: EndpointView, offer: Offer): RoutedRequest | undefined {
     if (!this.isUsable(view)) return undefined
     const name = view.description.name
-    const groups = this.queue.samples().filter((sample) => {
+    const groups = this.queue.groupSamples().filter((sample) => {
       const fits = offer.floor ? sample.class === offer.class : sample.tier <= offer.tier
-      return fits && this.directory.reachOf(sample).includes(view)
+      return fits && this.directory.findReachableEndpoints(sample).includes(view)
     })
     const best = this.queue.peek(groups.map((sample) => sample.group))
     if (best === undefined) return undefined
-    const isAvoided = best.avoid.has(name) && this.usable(best).some((other) => !best.avoid.has(other.description.name))
+    const isAvoided = best.avoidedEndpoints.has(name) &&
+      this.listUsableEndpoints(best).some((other) => !best.avoidedEndpoints.has(other.description.name))
     return isAvoided ? undefined : best
   }
 
   /** The groups that compete with a request for at least one endpoint. */
   private sharingGroups (request: RoutedRequest): Set<string> {
-    const reach = new Set(this.directory.reachOf(request))
+    const reach = new Set(this.directory.findReachableEndpoints(request))
     const sharing = new Set<string>()
-    for (const sample of this.queue.samples()) {
-      if (sample.group === request.group || this.directory.reachOf(sample).some((view) => reach.has(view))) sharing.add(sample.group)
+    for (const sample of this.queue.groupSamples()) {
+      if (sample.group === request.group ||
+        this.directory.findReachableEndpoints(sample).some((view) => reach.has(view))) sharing.add(sample.group)
     }
     return sharing
   }
 
   private demands (): GroupDemand[] {
     return this.queue.summaries().map((summary) => {
-      const endpoints = this.directory.reachOf(summary.sample).filter((view) => this.isUsable(view))
+      const endpoints = this.directory.findReachableEndpoints(summary.sample).filter((view) => this.isUsable(view))
       return { ...summary, endpoints }
     })
   }
@@ -340,9 +340,9 @@
       failuresInRow: view.load.failuresInRow
     }))
     const changes = this.health.evaluate(samples, now)
-    for (const { endpoint, state, why } of changes) {
+    for (const { endpoint, state, reason } of changes) {
       const event = state === 'healthy' ? 'readmitted' : state
-      this.options.logger.info({ channel: 'endpoint', endpoint, event, why })
+      this.options.logger.info({ channel: 'endpoint', endpoint, event, why: reason })
       if (state === 'ejected') this.ejections.emit(endpoint)
     }
     if (changes.length > 0) this.demand.schedule()
--- a/routing/dispatcher/src/endpoint-directory.ts
+++ b/routing/dispatcher/src/endpoint-directory.ts
@@ -34,7 +34,7 @@
     for (const stale of known?.endpoints ?? []) {
       if (!names.includes(stale)) this.views.delete(stale)
     }
-    this.invalidate()
+    this.clearReachCache()
   }
 
   /** Forgets a sidecar whose link has closed. */
@@ -45,7 +45,7 @@
     for (const name of known.endpoints) {
       if (this.views.get(name)?.sidecar === port) this.views.delete(name)
     }
-    this.invalidate()
+    this.clearReachCache()
   }
 
   /** Takes a load report; false if the endpoint is not known. */
@@ -53,14 +53,14 @@
     const view = this.views.get(load.name)
     if (view?.sidecar !== port) return false
     view.load = load
-    view.restsUntil = performance.now() + (load.backOffMs ?? 0)
+    view.backoffUntil = performance.now() + (load.backOffMs ?? 0)
     return true
   }
 
   /** Boxes that the platform lists as leaving. */
   setLeavingBoxes (boxes: ReadonlySet<string>): void {
     this.leavingBoxes = boxes
-    this.invalidate()
+    this.clearReachCache()
   }
 
   get (endpoint: string): EndpointView | undefined {
@@ -80,7 +80,7 @@
   }
 
   /** Gives the endpoints that a request may use, whatever their load or health. */
-  reachOf (query: ReachQuery): readonly EndpointView[] {
+  findReachableEndpoints (query: ReachQuery): readonly EndpointView[] {
     const cached = this.reach.get(query.group)
     if (cached !== undefined) return cached
     const selectors = query.selectors.map(selectorOf)
@@ -90,12 +90,12 @@
   }
 
   /** Must be called when records have changed. */
-  invalidate (): void {
+  clearReachCache (): void {
     this.reach.clear()
   }
 
   /** What the linked endpoints serve. */
-  served (): Set<string> {
+  listServed (): Set<string> {
     return new Set([...this.views.values()].map((view) => view.description.serves))
   }
 
@@ -111,13 +111,13 @@
     if (this.sidecars.get(sidecar.name)?.leaving === true || this.leavingBoxes.has(sidecar.name)) return false
     const record = this.records.get('endpoint', description.name)
     if (record?.cordoned === true) return false
-    const labels = labelsOf(view, record?.labels ?? {})
+    const labels = mergeLabels(view, record?.labels ?? {})
     return selectors.every((selector) => matches(selector, labels))
   }
 }
 
 /** The labels of an endpoint: its sidecar's, the operators', and where it stands. */
-export function labelsOf (view: EndpointView, fromRecord: Labels): Labels {
+export function mergeLabels (view: EndpointView, fromRecord: Labels): Labels {
   const { description, sidecar } = view
   return {
     ...description.labels,
@@ -135,7 +135,7 @@
 }
 
 function viewOf (description: EndpointDescription, sidecar: SidecarPort): EndpointView {
-  return { description, sidecar, load: emptyLoad(description.name), restsUntil: 0, outstanding: 0, probing: false }
+  return { description, sidecar, load: emptyLoad(description.name), backoffUntil: 0, outstanding: 0, isProbing: false }
 }
 
 function emptyLoad (name: string): EndpointLoad {
--- a/routing/dispatcher/src/index.ts
+++ b/routing/dispatcher/src/index.ts
@@ -2,4 +2,4 @@
 export * from './types.ts'
 export * from './dispatcher.ts'
 export * from './endpoint-directory.ts'
-export { pickOne } from './straight-path.ts'
+export { pickRandom } from './spare-slot-choice.ts'
--- a/routing/dispatcher/src/run-costs.ts
+++ b/routing/dispatcher/src/run-costs.ts
@@ -11,14 +11,14 @@
   private readonly meanMs = new Map<string, number>()
 
   /** The cost assumed for a request of a class, in ms. */
-  assumed (className: string): number {
+  estimate (className: string): number {
     return this.meanMs.get(className) ?? FIRST_GUESS_MS
   }
 
   /** Takes a measured cost into the mean and gives its difference to what was assumed. */
-  settle (className: string, actualMs: number): number {
-    const correction = actualMs - this.assumed(className)
-    this.meanMs.set(className, this.assumed(className) + SMOOTHING * correction)
+  recordActual (className: string, actualMs: number): number {
+    const correction = actualMs - this.estimate(className)
+    this.meanMs.set(className, this.estimate(className) + SMOOTHING * correction)
     return correction
   }
 }
--- a/routing/dispatcher/src/straight-path.ts
+++ b/routing/dispatcher/src/spare-slot-choice.ts
@@ -6,15 +6,15 @@
  * taken at random the one with the larger free share wins, so that entries with
  * the same picture do not all choose the same endpoint.
  */
-export function chooseSpare (candidates: readonly EndpointView[], dataCentre: string): EndpointView | undefined {
+export function chooseEndpointWithSpareSlot (candidates: readonly EndpointView[], dataCentre: string): EndpointView | undefined {
   const spare = candidates.filter((view) => view.load.spare > 0)
   const local = spare.filter((view) => view.sidecar.dataCentre === dataCentre)
   return betterOfTwo(local.length > 0 ? local : spare)
 }
 
 function betterOfTwo (views: readonly EndpointView[]): EndpointView | undefined {
-  const first = pickOne(views)
-  const second = pickOne(views)
+  const first = pickRandom(views)
+  const second = pickRandom(views)
   if (first === undefined || second === undefined) return first
   return freeShare(second) > freeShare(first) ? second : first
 }
@@ -24,6 +24,6 @@
 }
 
 /** One of some items, at random. */
-export function pickOne<T> (items: readonly T[]): T | undefined {
+export function pickRandom<T> (items: readonly T[]): T | undefined {
   return items[Math.floor(Math.random() * items.length)]
 }
--- a/routing/dispatcher/src/types.ts
+++ b/routing/dispatcher/src/types.ts
@@ -15,7 +15,7 @@
   /** Selectors that an endpoint must satisfy, as text. */
   selectors: readonly string[]
   /** Endpoints that failed this request before. */
-  avoid: Set<string>
+  avoidedEndpoints: Set<string>
 }
 
 /** The leave to run a request on an endpoint. */
@@ -27,7 +27,7 @@
   offerId?: string
   queuedMs: number
   grantedAt: number
-  why: string
+  reason: string
 }
 
 export type RefusalReason = 'resting' | 'queue-full' | 'wait-passed' | 'wait-too-long' | 'cancelled' | 'stopping'
@@ -35,7 +35,7 @@
 /** A request that was certainly not run. */
 export interface Refusal {
   reason: RefusalReason
-  why: string
+  explanation: string
   retryAfterMs: number
 }
 
@@ -65,9 +65,9 @@
   sidecar: SidecarPort
   load: EndpointLoad
   /** Until when it wants nothing, by the monotonic clock. */
-  restsUntil: number
+  backoffUntil: number
   /** Attempts of this entry in flight there. */
   outstanding: number
   /** Whether a probe of this entry is in flight there. */
-  probing: boolean
+  isProbing: boolean
 }
--- a/routing/dispatcher/src/wait-estimate.ts
+++ b/routing/dispatcher/src/wait-estimator.ts
@@ -48,15 +48,15 @@
   }
 }
 
-export class WaitEstimate {
+export class WaitEstimator {
   private readonly grants = new RateWindow()
   private readonly arrivals = new RateWindow()
 
-  noteArrival (tier: Tier, now: number): void {
+  recordArrival (tier: Tier, now: number): void {
     this.arrivals.add(tier, now)
   }
 
-  noteGrant (tier: Tier, now: number): void {
+  recordGrant (tier: Tier, now: number): void {
     this.grants.add(tier, now)
   }
 
--- a/routing/dispatcher/test/dispatcher.fuzz.test.ts
+++ b/routing/dispatcher/test/dispatcher.fuzz.test.ts
@@ -3,7 +3,7 @@
 import { FairQueue } from '@gullwall/routing.fair-queue'
 import { ReservationBook } from '@gullwall/routing.reservations'
 import { EndpointSlots } from '@gullwall/sidecar.slots'
-import { World, type WorldClass } from './world.ts'
+import { World, type WorldClass } from './simulation.ts'
 
 const RUNS = Number(process.env['FUZZ_RUNS'] ?? 60)
 const SEED = Number(process.env['FUZZ_SEED'] ?? 20261202)
@@ -117,8 +117,8 @@
 
 const MUTATIONS: Record<string, () => void> = {
   'the highest tier is shed first': () => {
-    const original = FairQueue.prototype.samples
-    vi.spyOn(FairQueue.prototype, 'victim').mockImplementation(function (this: FairQueue<never>) {
+    const original = FairQueue.prototype.groupSamples
+    vi.spyOn(FairQueue.prototype, 'findVictim').mockImplementation(function (this: FairQueue<never>) {
       const item = original.call(this).sort((left: { tier: number }, right: { tier: number }) => left.tier - right.tier)[0] as never
       return { item, isResumed: false }
     })
@@ -140,7 +140,7 @@
     vi.spyOn(EndpointSlots.prototype, 'pass').mockImplementation(() => {})
   },
   'the floor is forgotten and only the highest tier is offered': () => {
-    vi.spyOn(ReservationBook.prototype, 'pick').mockImplementation(() => undefined)
+    vi.spyOn(ReservationBook.prototype, 'assignSlot').mockImplementation(() => undefined)
   }
 }
 
--- a/routing/dispatcher/test/world.ts
+++ b/routing/dispatcher/test/simulation.ts
@@ -101,7 +101,7 @@
       maxWaitMs: 1e9,
       late: 'serve',
       selectors: [],
-      avoid: new Set()
+      avoidedEndpoints: new Set()
     }
     const fate: Fate = { request, state: 'waiting', runs: 0, preemptedBy: [], startedAt: 0 }
     this.fates.push(fate)
@@ -115,12 +115,12 @@
     const sidecar = this.sidecars[sidecarIndex % this.sidecars.length] as Sidecar
     const port = entry.ports.get(sidecar.name)
     if (port !== undefined) entry.dispatcher.removeSidecar(port)
-    sidecar.book.drop(entry.name)
+    sidecar.book.removeEntry(entry.name)
     this.link(entry, sidecar)
   }
 
   private async serve (entry: Entry, fate: Fate, runMs: number, front: boolean): Promise<void> {
-    const submitted = entry.dispatcher.submit(fate.request, { front })
+    const submitted = entry.dispatcher.submit(fate.request, { atFront: front })
     const result = await submitted
     result.caseOf({
       Left: (refusal) => {
@@ -133,7 +133,7 @@
 
   /** A request must not be given up while one of a lower tier waits at the same entry. */
   private noteShed (entry: Entry, fate: Fate): void {
-    const lower = [...entry.dispatcher.queuedByClass().keys()].filter((name) => {
+    const lower = [...entry.dispatcher.countQueuedByClass().keys()].filter((name) => {
       return (this.options.classes.find((known) => known.name === name)?.tier ?? 0) > fate.request.tier
     })
     if (lower.length > 0) this.violations.push(`${fate.request.class} was shed while ${lower.join()} waits`)
@@ -145,14 +145,14 @@
     const attemptId = `a${this.attempts}`
     this.later(() => {
       const { tier } = fate.request
-      const waiting = sidecar.book.highestTier(sidecar.name)
+      const waiting = sidecar.book.findHighestTier(sidecar.name)
       const admitted = sidecar.slots.admit({ attemptId, entry: entry.name, offerId: grant.offerId, tier, preemptible: true }, () => {
         sidecar.running.get(attemptId)?.end(true)
       })
       if (!admitted) {
         this.later(() => {
-          entry.dispatcher.finished(grant, true)
-          entry.dispatcher.noteBusy(grant.endpoint)
+          entry.dispatcher.completeGrant(grant, true)
+          entry.dispatcher.recordBusy(grant.endpoint)
           void this.serve(entry, fate, runMs, true)
         })
         return
@@ -176,7 +176,7 @@
       fate.state = preempted ? 'waiting' : 'done'
       queueMicrotask(() => sidecar.slots.release(attemptId))
       this.later(() => {
-        entry.dispatcher.finished(grant, true)
+        entry.dispatcher.completeGrant(grant, true)
         if (preempted) void this.serve(entry, fate, left, true)
       })
     }
@@ -203,14 +203,14 @@
       offerIds: new IdSequence(name, 'o'),
       meter: new RateMeter(),
       onSend: () => {},
-      backoffs: new BackoffTable({ onRoom: () => {} }),
+      backoffs: new BackoffTable({ onPermitsAvailable: () => {} }),
       admitWithoutSlot: false,
       onChange: () => {},
       sendOffer: (entryName, offer) => {
         const entry = this.entries.find((candidate) => candidate.name === entryName)
         const port = entry?.ports.get(name)
         if (entry === undefined || port === undefined) return false
-        this.later(() => entry.dispatcher.takeOffer(port, offer))
+        this.later(() => entry.dispatcher.handleOffer(port, offer))
         return true
       }
     })
@@ -234,7 +234,7 @@
       address: name,
       sendDemand: (rows) => this.later(() => {
         if (entry.ports.get(name) !== port) return
-        book.update(entry.name, rows)
+        book.updateDemand(entry.name, rows)
         slots.offerFree()
       }),
       sendPass: (offerId) => this.later(() => slots.pass(offerId)),
--- a/routing/fair-queue/src/index.ts
+++ b/routing/fair-queue/src/index.ts
@@ -49,17 +49,17 @@
   }
 
   /** How many requests wait that never ran. */
-  get freshSize (): number {
+  get unstartedSize (): number {
     return this.total - this.resumedTotal
   }
 
   /** Adds a request; one that ran in part before goes ahead of its organisation's others. */
-  push (item: Item, options: { front?: boolean } = {}): void {
+  push (item: Item, options: { atFront?: boolean } = {}): void {
     const group = this.groupOf(item)
     const lane = group.lane(item.organisation)
-    const target = options.front === true ? lane.resumed : lane.waiting
+    const target = options.atFront === true ? lane.resumed : lane.waiting
     target.add(item)
-    if (options.front === true) this.resumedTotal += 1
+    if (options.atFront === true) this.resumedTotal += 1
     group.size += 1
     this.total += 1
     this.sharesOf(item.tier).join(item.organisation)
@@ -108,7 +108,7 @@
   }
 
   /** One waiting request of each group. */
-  samples (): Item[] {
+  groupSamples (): Item[] {
     return [...this.groups.values()].map((group) => group.sample)
   }
 
@@ -146,7 +146,7 @@
    * the newest of the organisation with the most waiting there; one that ran in
    * part only if the tier has no other.
    */
-  victim (): Victim<Item> | undefined {
+  findVictim (): Victim<Item> | undefined {
     let lowest: Group<Item> | undefined
     for (const group of this.groups.values()) {
       const isLower = lowest === undefined || group.tier > lowest.tier
--- a/routing/health/src/index.ts
+++ b/routing/health/src/index.ts
@@ -21,7 +21,7 @@
 export interface HealthChange {
   endpoint: string
   state: HealthState
-  why: string
+  reason: string
 }
 
 interface Entry {
@@ -53,18 +53,18 @@
   }
 
   /** Notes a stream of this process that stood still, which load reports can't show. */
-  noteStall (endpoint: string): void {
+  recordStall (endpoint: string): void {
     this.entryOf(endpoint).stalls += 1
   }
 
-  noteSuccess (endpoint: string): void {
+  recordSuccess (endpoint: string): void {
     const entry = this.entries.get(endpoint)
     if (entry === undefined) return
     entry.stalls = 0
     if (entry.state === 'probing') entry.probeSuccesses += 1
   }
 
-  noteProbeFailure (endpoint: string, now = performance.now()): void {
+  recordProbeFailure (endpoint: string, now = performance.now()): void {
     const entry = this.entries.get(endpoint)
     if (entry?.state === 'probing') eject(entry, now)
   }
@@ -93,14 +93,14 @@
     if (entry.state === 'probing') return this.endProbe(sample.name, entry, why, now)
     if (why === undefined || !this.mayEject(peers)) return undefined
     eject(entry, now)
-    return { endpoint: sample.name, state: 'ejected', why }
+    return { endpoint: sample.name, state: 'ejected', reason: why }
   }
 
   private probeWhenDue (endpoint: string, entry: Entry, now: number): HealthChange | undefined {
     if (now < entry.until) return undefined
     entry.state = 'probing'
     entry.probeSuccesses = 0
-    return { endpoint, state: 'probing', why: `put aside ${entry.ejections} times` }
+    return { endpoint, state: 'probing', reason: `put aside ${entry.ejections} times` }
   }
 
   /** An endpoint whose probes end well but slowly is as sick as before. */
@@ -108,12 +108,12 @@
     if (now < entry.until + MIN_PROBE_MS) return undefined
     if (sickness !== undefined) {
       eject(entry, now)
-      return { endpoint, state: 'ejected', why: sickness }
+      return { endpoint, state: 'ejected', reason: sickness }
     }
     if (entry.probeSuccesses < PROBE_SUCCESSES) return undefined
     entry.state = 'healthy'
     entry.stalls = 0
-    return { endpoint, state: 'healthy', why: `${entry.probeSuccesses} probes answered in time` }
+    return { endpoint, state: 'healthy', reason: `${entry.probeSuccesses} probes answered in time` }
   }
 
   private mayEject (peers: readonly EndpointSample[]): boolean {
--- a/routing/health/test/health.test.ts
+++ b/routing/health/test/health.test.ts
@@ -13,8 +13,8 @@
     expect(health.evaluate(seen, 0)).toMatchObject([{ endpoint: slow, state: 'ejected' }])
     expect(health.evaluate(seen, 1000)).toEqual([])
     expect(health.evaluate(seen, 2500)).toMatchObject([{ endpoint: slow, state: 'probing' }])
-    health.noteSuccess(slow)
-    health.noteSuccess(slow)
+    health.recordSuccess(slow)
+    health.recordSuccess(slow)
     expect(health.evaluate(samples([50, 55, 60, 58]), 3600)).toMatchObject([{ endpoint: slow, state: 'healthy' }])
   })
 
@@ -23,8 +23,8 @@
     const slow = 'parts/east/3'
     health.evaluate(samples([50, 55, 60, 300]), 0)
     health.evaluate(samples([50, 55, 60, 300]), 2500)
-    health.noteSuccess(slow)
-    health.noteSuccess(slow)
+    health.recordSuccess(slow)
+    health.recordSuccess(slow)
     expect(health.evaluate(samples([50, 55, 60, 300]), 3600)).toMatchObject([{ endpoint: slow, state: 'ejected' }])
   })
 
@@ -33,7 +33,7 @@
     const slow = 'parts/east/3'
     health.evaluate(samples([50, 55, 60, 300]), 0)
     health.evaluate(samples([50, 55, 60, 300]), 2500)
-    health.noteProbeFailure(slow, 2600)
+    health.recordProbeFailure(slow, 2600)
     expect(health.evaluate(samples([50, 55, 60, 300]), 5000)).toEqual([])
     expect(health.evaluate(samples([50, 55, 60, 300]), 6700)).toMatchObject([{ state: 'probing' }])
   })
@@ -53,7 +53,7 @@
 
   it('puts one aside whose stream stood still, although its reports are fine', () => {
     const health = new HealthMonitor()
-    health.noteStall('parts/east/1')
+    health.recordStall('parts/east/1')
     expect(health.evaluate(samples([50, 50]), 0)).toMatchObject([{ endpoint: 'parts/east/1', state: 'ejected' }])
   })
 })
--- a/routing/limits/src/adaptive-limit.ts
+++ b/routing/limits/src/adaptive-limit.ts
@@ -3,11 +3,11 @@
  * tokens: while that is within the target and slots are short, one more is
  * allowed; when it is over, the limit falls by a factor.
  */
-import { SampleWindow } from './window.ts'
+import { SampleWindow } from './sample-window.ts'
 
 export interface AdaptiveLimitOptions {
-  start: number
-  max: number
+  initialLimit: number
+  maxLimit: number
   /** Evaluate after so many samples. */
   samplesPerStep?: number
 }
@@ -29,7 +29,7 @@
   private wasFull = false
 
   constructor (private readonly options: AdaptiveLimitOptions) {
-    this.value = Math.min(options.start, options.max)
+    this.value = Math.min(options.initialLimit, options.maxLimit)
     this.samplesPerStep = options.samplesPerStep ?? DEFAULT_SAMPLES_PER_STEP
     this.gaps = new SampleWindow(this.samplesPerStep)
   }
@@ -40,7 +40,7 @@
   }
 
   /** Notes that all slots are taken; only a full endpoint earns a higher limit. */
-  noteFull (): void {
+  recordFull (): void {
     this.wasFull = true
   }
 
@@ -59,7 +59,7 @@
     const before = this.limit
     const load = this.gaps.quantile(TARGET_QUANTILE)
     if (load > CEILING) this.value = Math.max(1, this.value * DECREASE_FACTOR)
-    else if (load < HEADROOM && this.wasFull) this.value = Math.min(this.options.max, this.value + 1)
+    else if (load < HEADROOM && this.wasFull) this.value = Math.min(this.options.maxLimit, this.value + 1)
     this.sinceStep = 0
     this.wasFull = false
     return this.limit !== before
--- a/routing/limits/src/index.ts
+++ b/routing/limits/src/index.ts
@@ -2,4 +2,4 @@
 export * from './adaptive-limit.ts'
 export * from './organisation-limits.ts'
 export * from './retry-budget.ts'
-export * from './window.ts'
+export * from './sample-window.ts'
--- a/routing/limits/src/retry-budget.ts
+++ b/routing/limits/src/retry-budget.ts
@@ -8,12 +8,12 @@
 export class RetryBudget {
   private balance = START_BUDGET
 
-  noteSuccess (): void {
+  recordSuccess (): void {
     this.balance = Math.min(MAX_BUDGET, this.balance + RETRIES_PER_SUCCESS)
   }
 
   /** Takes one retry out of the budget; false if it is spent. */
-  take (): boolean {
+  tryTake (): boolean {
     if (this.balance < 1) return false
     this.balance -= 1
     return true
--- a/routing/limits/test/limits.test.ts
+++ b/routing/limits/test/limits.test.ts
@@ -6,18 +6,18 @@
 
 describe('the adaptive limit', () => {
   it('falls while gaps are over the target and rises while slots are short', () => {
-    const limit = new AdaptiveLimit({ start: 10, max: 12, samplesPerStep: 10 })
+    const limit = new AdaptiveLimit({ initialLimit: 10, maxLimit: 12, samplesPerStep: 10 })
     for (let sample = 0; sample < 10; sample++) limit.addGap(100, 72)
     expect(limit.limit).toBe(9)
     for (let step = 0; step < 5; step++) {
-      limit.noteFull()
+      limit.recordFull()
       for (let sample = 0; sample < 10; sample++) limit.addGap(30, 72)
     }
     expect(limit.limit).toBe(12)
   })
 
   it('does not rise while there is room, and never falls below one', () => {
-    const limit = new AdaptiveLimit({ start: 2, max: 12, samplesPerStep: 1 })
+    const limit = new AdaptiveLimit({ initialLimit: 2, maxLimit: 12, samplesPerStep: 1 })
     limit.addGap(1, 72)
     expect(limit.limit).toBe(2)
     for (let sample = 0; sample < 50; sample++) limit.addGap(1000, 72)
@@ -43,10 +43,10 @@
   it('is a share of successes', () => {
     const budget = new RetryBudget()
     let taken = 0
-    while (budget.take()) taken += 1
-    for (let success = 0; success < 100; success++) budget.noteSuccess()
+    while (budget.tryTake()) taken += 1
+    for (let success = 0; success < 100; success++) budget.recordSuccess()
     let more = 0
-    while (budget.take()) more += 1
+    while (budget.tryTake()) more += 1
     expect(taken).toBe(10)
     expect(more).toBeLessThanOrEqual(10)
     expect(more).toBeGreaterThanOrEqual(9)
--- a/routing/policies/src/index.ts
+++ b/routing/policies/src/index.ts
@@ -2,7 +2,7 @@
  * Baselines that bind a request to an endpoint when it arrives. They are kept
  * to measure late binding against; see docs/decisions.
  */
-import { pickOne, type EndpointView } from '@gullwall/routing.dispatcher'
+import { pickRandom, type EndpointView } from '@gullwall/routing.dispatcher'
 
 export type BaselineName = 'round-robin' | 'least-reported-load' | 'power-of-two'
 
@@ -24,12 +24,12 @@
 
 function leastReportedLoad (candidates: readonly EndpointView[]): EndpointView | undefined {
   const least = Math.min(...candidates.map((candidate) => candidate.load.reportedInFlight))
-  return pickOne(candidates.filter((candidate) => candidate.load.reportedInFlight === least))
+  return pickRandom(candidates.filter((candidate) => candidate.load.reportedInFlight === least))
 }
 
 function powerOfTwo (candidates: readonly EndpointView[]): EndpointView | undefined {
-  const first = pickOne(candidates)
-  const second = pickOne(candidates)
+  const first = pickRandom(candidates)
+  const second = pickRandom(candidates)
   if (first === undefined || second === undefined) return first
   return loadOf(second) < loadOf(first) ? second : first
 }
--- a/routing/quarantine/src/blame.ts
+++ b/routing/quarantine/src/crash-causes.ts
@@ -5,46 +5,46 @@
  */
 
 /** With so many crashes a request is held: two may meet it by chance, since what is repeated runs beside it again. */
-export const CRASHES_NEEDED = 3
+export const MIN_CRASHES = 3
 /** Where another request was in as many of the same crashes neither is held yet, but with so many both are. */
 const CRASHES_FOR_SURE = 5
 /** What a crash counts that another request explains already. */
 const EXPLAINED_WEIGHT = 0.5
 
 /** The requests that ran at one endpoint when it crashed, by fingerprint. */
-export type CrashedTogether = ReadonlySet<string>
+export type RequestsAtCrash = ReadonlySet<string>
 
-export interface BlameOptions {
-  crashes: Iterable<CrashedTogether>
+export interface CrashCauseOptions {
+  crashes: Iterable<RequestsAtCrash>
   /** Requests that are held: they explain the crashes that they were in. */
-  held: ReadonlySet<string>
+  quarantined: ReadonlySet<string>
   /** Requests that were held before: one crash is enough. */
-  suspected: ReadonlySet<string>
+  formerlyQuarantined: ReadonlySet<string>
 }
 
 interface Candidate {
   fingerprint: string
   /** Its crashes that nothing else explains. */
-  own: ReadonlySet<CrashedTogether>
+  own: ReadonlySet<RequestsAtCrash>
   score: number
 }
 
 /** Gives the requests that are to be held besides those that are; the same for the same crashes in any order. */
-export function blamed ({ crashes, held, suspected }: BlameOptions): string[] {
+export function findCrashCauses ({ crashes, quarantined, formerlyQuarantined }: CrashCauseOptions): string[] {
   const all = [...crashes]
   const found = new Set<string>()
-  const isExplained = (crash: CrashedTogether) => [...crash].some((fingerprint) => held.has(fingerprint) || found.has(fingerprint))
+  const isExplained = (crash: RequestsAtCrash) => [...crash].some((fingerprint) => quarantined.has(fingerprint) || found.has(fingerprint))
   for (;;) {
-    const candidates = candidatesOf(all, isExplained).filter(({ fingerprint }) => !held.has(fingerprint) && !found.has(fingerprint))
-    const next = candidates.find((candidate) => isBlamed(candidate, candidates, suspected))
+    const candidates = candidatesOf(all, isExplained).filter(({ fingerprint }) => !quarantined.has(fingerprint) && !found.has(fingerprint))
+    const next = candidates.find((candidate) => isBlamed(candidate, candidates, formerlyQuarantined))
     if (next === undefined) return [...found]
     found.add(next.fingerprint)
   }
 }
 
 /** Requests with a crash that nothing explains, the most suspicious first. */
-function candidatesOf (crashes: readonly CrashedTogether[], isExplained: (crash: CrashedTogether) => boolean): Candidate[] {
-  const own = new Map<string, Set<CrashedTogether>>()
+function candidatesOf (crashes: readonly RequestsAtCrash[], isExplained: (crash: RequestsAtCrash) => boolean): Candidate[] {
+  const own = new Map<string, Set<RequestsAtCrash>>()
   const explained = new Map<string, number>()
   for (const crash of crashes) {
     const isOther = isExplained(crash)
@@ -62,7 +62,7 @@
 function isBlamed (candidate: Candidate, candidates: readonly Candidate[], suspected: ReadonlySet<string>): boolean {
   const { fingerprint, score } = candidate
   if (suspected.has(fingerprint) || score >= CRASHES_FOR_SURE) return true
-  if (score < CRASHES_NEEDED) return false
+  if (score < MIN_CRASHES) return false
   return !candidates.some((other) => other !== candidate && other.score >= score && sharesCrash(other, candidate))
 }
 
--- a/routing/quarantine/src/crash-evidence.ts
+++ b/routing/quarantine/src/crash-evidence.ts
@@ -2,7 +2,7 @@
  * What is known of crashed endpoints and of what ran there, and which requests are held for it. Deterministic, without
  * a clock: whoever replicates it decides when it is judged and when what is old is forgotten.
  */
-import { blamed } from './blame.ts'
+import { findCrashCauses } from './crash-causes.ts'
 
 /** An endpoint that has crashed and what ran there, as one box saw it. */
 export interface Crash {
@@ -20,7 +20,7 @@
 const MAX_HELD = 1000
 
 /** The evidence as it is kept in a snapshot. */
-export interface EvidenceDump {
+export interface EvidenceSnapshot {
   crashes: Array<[endpoint: string, requests: string[]]>
   held: string[]
   suspected: string[]
@@ -36,11 +36,11 @@
   private judged = true
 
   /** Whether nothing has come in since the last judgement. */
-  get isJudged (): boolean {
+  get isEvaluated (): boolean {
     return this.judged
   }
 
-  get held (): ReadonlySet<string> {
+  get quarantined (): ReadonlySet<string> {
     return this.heldNow
   }
 
@@ -50,13 +50,13 @@
   }
 
   /** Requests that were running when an endpoint crashed and are not held. */
-  get suspects (): number {
+  get suspectCount (): number {
     const all = new Set([...this.crashes.values()].flatMap((requests) => [...requests]))
     return [...all].filter((fingerprint) => !this.heldNow.has(fingerprint)).length
   }
 
   /** Takes what a box saw; the same again changes nothing, and what several boxes saw of one crash adds up. */
-  note (crashes: readonly Crash[]): void {
+  recordCrashes (crashes: readonly Crash[]): void {
     for (const { endpoint, requests } of crashes) {
       const known = this.crashes.get(endpoint) ?? new Set()
       const fresh = requests.filter((fingerprint) => !known.has(fingerprint)).slice(0, MAX_REQUESTS - known.size)
@@ -69,7 +69,7 @@
   }
 
   /** Clears requests that have run without a crash; gives those of them that were held. */
-  clear (requests: readonly string[]): string[] {
+  clearRequests (requests: readonly string[]): string[] {
     for (const fingerprint of requests) {
       this.suspected.delete(fingerprint)
       for (const crash of this.crashes.values()) crash.delete(fingerprint)
@@ -78,8 +78,8 @@
   }
 
   /** Holds the requests that the crashes tell of; gives those that are newly held, and those that gave way to them. */
-  judge (): { held: string[], released: string[] } {
-    const held = blamed({ crashes: this.crashes.values(), held: this.heldNow, suspected: this.suspected })
+  evaluate (): { held: string[], released: string[] } {
+    const held = findCrashCauses({ crashes: this.crashes.values(), quarantined: this.heldNow, formerlyQuarantined: this.suspected })
     this.judged = true
     for (const fingerprint of held) {
       this.heldNow.add(fingerprint)
@@ -89,7 +89,7 @@
   }
 
   /** In how many kept crashes a request was running. */
-  crashesOf (fingerprint: string): number {
+  countCrashes (fingerprint: string): number {
     return [...this.crashes.values()].filter((requests) => requests.has(fingerprint)).length
   }
 
@@ -99,7 +99,7 @@
   }
 
   /** Lets held requests run again; one more crash holds them anew. Gives those that were held. */
-  release (requests: readonly string[]): string[] {
+  releaseRequests (requests: readonly string[]): string[] {
     const released = requests.filter((fingerprint) => this.heldNow.delete(fingerprint))
     for (const fingerprint of released) {
       // Its old crashes would hold it again at once.
@@ -110,12 +110,12 @@
     return released
   }
 
-  dump (): EvidenceDump {
+  createSnapshot (): EvidenceSnapshot {
     const crashes = [...this.crashes].map(([endpoint, requests]): [string, string[]] => [endpoint, [...requests]])
     return { crashes, held: [...this.heldNow], suspected: [...this.suspected], isJudged: this.judged }
   }
 
-  restore ({ crashes, held, suspected, isJudged }: EvidenceDump): void {
+  restore ({ crashes, held, suspected, isJudged }: EvidenceSnapshot): void {
     this.crashes.clear()
     this.heldNow.clear()
     this.suspected.clear()
--- a/routing/quarantine/src/fingerprint.ts
+++ b/routing/quarantine/src/fingerprint.ts
@@ -15,7 +15,7 @@
 const DIGITS = 32
 
 /** A digest of the request, equal in every process; nothing of its content can be read from it. */
-export function fingerprintOf ({ organisation, method, path, body }: RequestIdentity): string {
+export function computeFingerprint ({ organisation, method, path, body }: RequestIdentity): string {
   const hash = createHash('sha256')
   // The lengths come first, so that no part can run over into the next.
   for (const part of [organisation ?? '', method, path]) hash.update(`${Buffer.byteLength(part)}:`).update(part)
--- a/routing/quarantine/test/blame.test.ts
+++ b/routing/quarantine/test/crash-causes.test.ts
@@ -1,10 +1,12 @@
 import { describe, expect, it } from 'vitest'
-import { blamed } from '../src/index.ts'
+import { findCrashCauses } from '../src/index.ts'
 
 /** Crashes by the letters of the requests that ran there. */
 const crashesOf = (...texts: string[]) => texts.map((text) => new Set(text))
 const NONE = new Set<string>()
-const blame = (crashes: Array<Set<string>>, { held = NONE, suspected = NONE } = {}) => blamed({ crashes, held, suspected })
+const blame = (
+  crashes: Array<Set<string>>, { held = NONE, suspected = NONE } = {}
+) => findCrashCauses({ crashes, quarantined: held, formerlyQuarantined: suspected })
 
 describe('among the requests that ran where endpoints crashed', () => {
   it('one that was in three crashes is held, and what shared one or two of them is not', () => {
--- a/routing/quarantine/test/crash-evidence.fuzz.test.ts
+++ b/routing/quarantine/test/crash-evidence.fuzz.test.ts
@@ -13,7 +13,7 @@
 
 function evidenceOf (crashes: readonly Crash[]): CrashEvidence {
   const evidence = new CrashEvidence()
-  evidence.note(crashes)
+  evidence.recordCrashes(crashes)
   return evidence
 }
 
@@ -23,8 +23,8 @@
   it('holds the same requests in whatever order and how often it hears of the same crashes', () => {
     fc.assert(fc.property(fc.array(crash, { maxLength: 12 }), fc.array(fc.nat(), { maxLength: 12 }), (crashes, keys) => {
       const shuffled = crashes.map((item, index) => ({ item, key: keys[index] ?? 0 })).sort((left, right) => left.key - right.key)
-      const once = evidenceOf(crashes).judge().held.sort()
-      expect(evidenceOf([...shuffled.map(({ item }) => item), ...crashes]).judge().held.sort()).toEqual(once)
+      const once = evidenceOf(crashes).evaluate().held.sort()
+      expect(evidenceOf([...shuffled.map(({ item }) => item), ...crashes]).evaluate().held.sort()).toEqual(once)
     }), { numRuns: RUNS, seed: SEED })
   })
 
@@ -34,7 +34,7 @@
       const counts = new Map<string, number>()
       for (const name of runs.flat()) counts.set(name, (counts.get(name) ?? 0) + 1)
       fc.pre(Math.max(0, ...counts.values()) < runs.length)
-      const { held } = evidenceOf(runs.map((requests, index) => ({ endpoint: `i-${index}`, requests: [...requests, 'P'] }))).judge()
+      const { held } = evidenceOf(runs.map((requests, index) => ({ endpoint: `i-${index}`, requests: [...requests, 'P'] }))).evaluate()
       expect(held).toEqual(['P'])
     }), { numRuns: RUNS, seed: SEED })
   })
@@ -42,13 +42,13 @@
   it('is the same after a snapshot', () => {
     fc.assert(fc.property(fc.array(crash, { maxLength: 12 }), fc.array(crash, { maxLength: 6 }), (before, after) => {
       const first = evidenceOf(before)
-      first.judge()
-      first.release([...first.held].slice(0, 1))
+      first.evaluate()
+      first.releaseRequests([...first.quarantined].slice(0, 1))
       const second = new CrashEvidence()
-      second.restore(JSON.parse(JSON.stringify(first.dump())) as ReturnType<CrashEvidence['dump']>)
-      for (const evidence of [first, second]) evidence.note(after)
-      expect(second.judge()).toEqual(first.judge())
-      expect(second.dump()).toEqual(first.dump())
+      second.restore(JSON.parse(JSON.stringify(first.createSnapshot())) as ReturnType<CrashEvidence['createSnapshot']>)
+      for (const evidence of [first, second]) evidence.recordCrashes(after)
+      expect(second.evaluate()).toEqual(first.evaluate())
+      expect(second.createSnapshot()).toEqual(first.createSnapshot())
     }), { numRuns: RUNS, seed: SEED })
   })
 })
@@ -58,39 +58,39 @@
     const evidence = new CrashEvidence()
     for (let index = 0; index < 3000; index += 1) {
       const requests = Array.from({ length: 200 }, (_unused, number) => `r-${index}-${number}`)
-      evidence.note([{ endpoint: `i-${index}`, requests }])
+      evidence.recordCrashes([{ endpoint: `i-${index}`, requests }])
     }
     expect(evidence.endpoints.length).toBe(128)
     expect(evidence.endpoints.at(-1)).toBe('i-2999')
-    expect(evidence.suspects).toBe(128 * 128)
+    expect(evidence.suspectCount).toBe(128 * 128)
   })
 
   it('holds a bounded number of requests, the newest', () => {
     const evidence = new CrashEvidence()
     let released = 0
     for (let request = 0; request < 1100; request += 1) {
-      evidence.note([1, 2, 3].map((crashed) => ({ endpoint: `i-${request}-${crashed}`, requests: [`r-${request}`] })))
-      released += evidence.judge().released.length
+      evidence.recordCrashes([1, 2, 3].map((crashed) => ({ endpoint: `i-${request}-${crashed}`, requests: [`r-${request}`] })))
+      released += evidence.evaluate().released.length
     }
-    expect(evidence.held.size).toBe(1000)
+    expect(evidence.quarantined.size).toBe(1000)
     expect(released).toBe(100)
-    expect(evidence.held.has('r-1099')).toBe(true)
+    expect(evidence.quarantined.has('r-1099')).toBe(true)
   })
 
   it('is cleared of a request that has run well, also of one that is held', () => {
     const evidence = evidenceOf(['i-1', 'i-2', 'i-3'].map((endpoint) => ({ endpoint, requests: ['a'] })))
-    evidence.judge()
-    expect(evidence.clear(['a', 'b'])).toEqual(['a'])
-    expect(evidence.judge().held).toEqual([])
-    expect(evidence.crashesOf('a')).toBe(0)
+    evidence.evaluate()
+    expect(evidence.clearRequests(['a', 'b'])).toEqual(['a'])
+    expect(evidence.evaluate().held).toEqual([])
+    expect(evidence.countCrashes('a')).toBe(0)
   })
 
   it('is tried again once it is released, and held again with the next crash', () => {
     const evidence = evidenceOf(['i-1', 'i-2', 'i-3'].map((endpoint) => ({ endpoint, requests: ['a'] })))
-    evidence.judge()
-    expect(evidence.release(['a'])).toEqual(['a'])
-    expect(evidence.judge().held).toEqual([])
-    evidence.note([{ endpoint: 'i-4', requests: ['a', 'b'] }])
-    expect(evidence.judge().held).toEqual(['a'])
+    evidence.evaluate()
+    expect(evidence.releaseRequests(['a'])).toEqual(['a'])
+    expect(evidence.evaluate().held).toEqual([])
+    evidence.recordCrashes([{ endpoint: 'i-4', requests: ['a', 'b'] }])
+    expect(evidence.evaluate().held).toEqual(['a'])
   })
 })
--- a/routing/quarantine/test/fingerprint.test.ts
+++ b/routing/quarantine/test/fingerprint.test.ts
@@ -1,11 +1,11 @@
 import { describe, expect, it } from 'vitest'
-import { fingerprintOf } from '../src/index.ts'
+import { computeFingerprint } from '../src/index.ts'
 
 const request = { organisation: 'workshop', method: 'POST', path: '/draft/1?x=2', body: Buffer.from('a note') }
 
 describe('the fingerprint of a request', () => {
   it('is the same for the same caller, path and body', () => {
-    expect(fingerprintOf({ ...request, body: Buffer.from('a note') })).toBe(fingerprintOf(request))
+    expect(computeFingerprint({ ...request, body: Buffer.from('a note') })).toBe(computeFingerprint(request))
   })
 
   it.each([
@@ -17,6 +17,6 @@
     ['no body', { body: undefined }],
     ['a part that runs over into the next', { organisation: 'workshopP', method: 'OST' }]
   ])('differs for %s', (_what, change) => {
-    expect(fingerprintOf({ ...request, ...change })).not.toBe(fingerprintOf(request))
+    expect(computeFingerprint({ ...request, ...change })).not.toBe(computeFingerprint(request))
   })
 })
--- a/routing/rates/src/rate-bound.ts
+++ b/routing/rates/src/rate-bound.ts
@@ -5,14 +5,14 @@
   requests: number
   windowMs: number
   /** Within each such part of the window the same part of the requests is sent, so that an endpoint has its work evenly. */
-  parts: number
+  segments: number
   /** How many more than that, since requests do not come evenly. */
-  extra: number
+  extraPerSegment: number
 }
 
 /** The most requests within one part of the window. */
-export function mostInPart ({ requests, parts, extra }: RateBound): number {
-  return Math.min(requests, Math.ceil(requests / parts) + extra)
+export function computeSegmentLimit ({ requests, segments, extraPerSegment }: RateBound): number {
+  return Math.min(requests, Math.ceil(requests / segments) + extraPerSegment)
 }
 
 /** Over any time of this length an endpoint gets no more than it named, in ms; longer only where it named less than one request in it. */
@@ -21,18 +21,18 @@
  * An endpoint that names less than this is sent so many requests a second all the same: only an answer can tell that its limit
  * is over, and nobody would ask it any more.
  */
-export const LEAST_PER_SECOND = 0.1
+export const MIN_REQUESTS_PER_SECOND = 0.1
 /** An endpoint that names more than this is not counted, in requests a second: it is more than any single one is ever sent. */
-export const MOST_COUNTED_PER_SECOND = 10_000
+export const MAX_METERED_REQUESTS_PER_SECOND = 10_000
 
 const MS_PER_SECOND = 1000
 const LIMIT_PARTS = 4
 const LIMIT_EXTRA = 1
 
 /** The bound of an endpoint that takes so many requests a second; undefined where that bounds nothing. Requests are whole. */
-export function boundOfRate (perSecond: number): RateBound | undefined {
-  if (perSecond > MOST_COUNTED_PER_SECOND) return undefined
-  const rate = Math.max(perSecond, LEAST_PER_SECOND)
+export function createRateBound (perSecond: number): RateBound | undefined {
+  if (perSecond > MAX_METERED_REQUESTS_PER_SECOND) return undefined
+  const rate = Math.max(perSecond, MIN_REQUESTS_PER_SECOND)
   const requests = Math.ceil(rate * LIMIT_WINDOW_MS / MS_PER_SECOND)
-  return { requests, windowMs: requests / rate * MS_PER_SECOND, parts: LIMIT_PARTS, extra: LIMIT_EXTRA }
+  return { requests, windowMs: requests / rate * MS_PER_SECOND, segments: LIMIT_PARTS, extraPerSegment: LIMIT_EXTRA }
 }
--- a/routing/rates/src/rate-meter.ts
+++ b/routing/rates/src/rate-meter.ts
@@ -1,5 +1,5 @@
 /** The meter of a process that is the only way to an endpoint, so that nobody else shares its limit. */
-import { boundOfRate, type RateBound } from './rate-bound.ts'
+import { createRateBound, type RateBound } from './rate-bound.ts'
 import { SendLog } from './send-log.ts'
 
 /** The endpoint's clock may run by this share faster than the one here. */
@@ -17,11 +17,11 @@
    * Takes the endpoint's word: requests a second, or none. Gives whether that is news. What was sent before it named a limit is not
    * held against it: it would be sent nothing for a window just then.
    */
-  limit (perSecond: number | undefined): boolean {
+  setLimit (perSecond: number | undefined): boolean {
     if (perSecond === this.perSecond) return false
     if (this.perSecond === undefined) this.log = new SendLog()
     this.perSecond = perSecond
-    const bound = perSecond === undefined ? undefined : boundOfRate(perSecond)
+    const bound = perSecond === undefined ? undefined : createRateBound(perSecond)
     this.bound = bound === undefined ? undefined : { ...bound, windowMs: bound.windowMs * (1 + CLOCK_MARGIN) }
     return true
   }
@@ -31,24 +31,24 @@
   }
 
   /** How many requests may be sent now; no bound where the endpoint named none. */
-  free (now: number): number {
-    return this.bound === undefined ? Infinity : this.log.free(this.bound, now)
+  remaining (now: number): number {
+    return this.bound === undefined ? Infinity : this.log.remaining(this.bound, now)
   }
 
   /** The whole bound; no bound where the endpoint named none. */
-  get most (): number {
+  get maxRequests (): number {
     return this.bound?.requests ?? Infinity
   }
 
   /** After which time more may be sent, in ms; 0 where some may be sent now. */
   waitMs (now: number): number {
-    return this.bound === undefined || this.free(now) > 0 ? 0 : this.log.untilFree(this.bound, now)
+    return this.bound === undefined || this.remaining(now) > 0 ? 0 : this.log.waitMs(this.bound, now)
   }
 
   /** Notes a request that is sent now. */
-  note (now: number): void {
+  recordSent (now: number): void {
     if (this.bound === undefined) return
-    this.log.forgetBefore(now - Math.max(KEPT_MS, this.bound.windowMs))
+    this.log.dropBefore(now - Math.max(KEPT_MS, this.bound.windowMs))
     this.log.add(1, now)
   }
 }
--- a/routing/rates/src/send-log.ts
+++ b/routing/rates/src/send-log.ts
@@ -1,5 +1,5 @@
 /** What was sent to one endpoint, or granted to be sent, and how much of a bound is left. */
-import { mostInPart, type RateBound } from './rate-bound.ts'
+import { computeSegmentLimit, type RateBound } from './rate-bound.ts'
 
 interface Sent {
   at: number
@@ -15,7 +15,7 @@
   }
 
   /** Forgets what is older than the longest window that is still asked about. */
-  forgetBefore (at: number): void {
+  dropBefore (at: number): void {
     const [first] = this.sent
     if (first !== undefined && first.at < at) this.sent = this.sent.filter((entry) => entry.at >= at)
   }
@@ -24,25 +24,25 @@
    * Counts as much as somebody else may have sent within the bound until a time, as late as it may have been: whatever was sent in
    * truth, no window that ends later holds more of it.
    */
-  assumeUsed (bound: RateBound, until: number): void {
+  assumeFullUse (bound: RateBound, until: number): void {
     const assumed: Sent[] = []
     for (let part = 0, left = bound.requests; left > 0; part += 1) {
-      const requests = Math.min(left, mostInPart(bound))
-      assumed.unshift({ at: until - part * bound.windowMs / bound.parts, requests })
+      const requests = Math.min(left, computeSegmentLimit(bound))
+      assumed.unshift({ at: until - part * bound.windowMs / bound.segments, requests })
       left -= requests
     }
     this.sent = [...assumed, ...this.sent].sort((left, right) => left.at - right.at)
   }
 
   /** How many more may be sent now, over the whole window and over its latest part. */
-  free (bound: RateBound, now: number): number {
-    const { requests, windowMs, parts } = bound
-    return Math.max(0, Math.min(requests - this.since(now - windowMs), mostInPart(bound) - this.since(now - windowMs / parts)))
+  remaining (bound: RateBound, now: number): number {
+    const { requests, windowMs, segments } = bound
+    return Math.max(0, Math.min(requests - this.since(now - windowMs), computeSegmentLimit(bound) - this.since(now - windowMs / segments)))
   }
 
   /** When what was sent next ceases to count, in ms from now; the whole window where nothing does. */
-  untilFree ({ windowMs, parts }: RateBound, now: number): number {
-    const waits = this.sent.flatMap(({ at }) => [at + windowMs / parts - now, at + windowMs - now])
+  waitMs ({ windowMs, segments }: RateBound, now: number): number {
+    const waits = this.sent.flatMap(({ at }) => [at + windowMs / segments - now, at + windowMs - now])
     return Math.min(windowMs, ...waits.filter((ms) => ms > 0))
   }
 
--- a/routing/reservations/src/index.ts
+++ b/routing/reservations/src/index.ts
@@ -8,7 +8,7 @@
 import { type DemandRow } from '@gullwall/transport.messages'
 
 /** Whom a free slot is offered to. */
-export interface Pick {
+export interface SlotAssignment {
   entry: string
   class: string
   tier: Tier
@@ -25,19 +25,19 @@
   private readonly passes = new Map<string, number>()
 
   /** Replaces what an entry waits for. */
-  update (entry: string, rows: DemandRow[]): void {
+  updateDemand (entry: string, rows: DemandRow[]): void {
     if (rows.length === 0) this.demands.delete(entry)
     else this.demands.set(entry, rows.map((row) => ({ ...row })))
   }
 
   /** Forgets an entry whose link has closed. */
-  drop (entry: string): void {
+  removeEntry (entry: string): void {
     this.demands.delete(entry)
     this.passes.delete(entry)
   }
 
   /** The highest tier that waits for an endpoint, or undefined if none does. */
-  highestTier (endpoint: string): Tier | undefined {
+  findHighestTier (endpoint: string): Tier | undefined {
     let highest: Tier | undefined
     for (const { row } of this.waitingFor(endpoint)) {
       if (highest === undefined || row.tier < highest) highest = row.tier
@@ -46,7 +46,7 @@
   }
 
   /** Picks for one free slot of an endpoint and takes one request off the summary it picked from. */
-  pick (endpoint: string): Pick | undefined {
+  assignSlot (endpoint: string): SlotAssignment | undefined {
     const waiting = [...this.waitingFor(endpoint)]
     if (waiting.length === 0) return undefined
     this.accrue(waiting)
--- a/sidecar/attempts/src/runner.ts
+++ b/sidecar/attempts/src/runner.ts
@@ -5,8 +5,8 @@
 import { type Logger } from '@gullwall/core.logger'
 import { type LocalEndpoint } from '@gullwall/config.settings'
 import { type Endpoint } from '@gullwall/endpoint.dialect'
-import { endToEndHeaders } from '@gullwall/endpoint.http'
-import { endComment, isEventStream, type EndReason } from '@gullwall/endpoint.openai'
+import { selectEndToEndHeaders } from '@gullwall/endpoint.http'
+import { formatEndComment, isEventStream, type EndReason } from '@gullwall/endpoint.openai'
 import { type EndpointSlots } from '@gullwall/sidecar.slots'
 import {
   ATTEMPT_PREFIX, readHead, REFUSED_STATUS, withoutOwnHeaders, writeRefusal, type AttemptHead, type AttemptRefused
@@ -146,7 +146,7 @@
     return this.served.endpoint.run({
       method: context.method,
       path: context.url.slice(ATTEMPT_PREFIX.length),
-      headers: withoutOwnHeaders(endToEndHeaders(context.headers)),
+      headers: withoutOwnHeaders(selectEndToEndHeaders(context.headers)),
       body: hasBody ? context.req : undefined,
       signal: this.abort.signal
     }, {
@@ -178,7 +178,7 @@
     this.served.slots.noteAnswered(this.head.attemptId)
     this.isStream = isEventStream(headers)
     this.context.respond = false
-    response.writeHead(status, withoutOwnHeaders(endToEndHeaders(headers)))
+    response.writeHead(status, withoutOwnHeaders(selectEndToEndHeaders(headers)))
     response.flushHeaders()
   }
 
@@ -206,7 +206,7 @@
       ran: 'partly',
       why: `${reason}: ${messageOf(error)}`
     })
-    if (this.isStream) response.end(endComment(reason))
+    if (this.isStream) response.end(formatEndComment(reason))
     else response.destroy()
   }
 
--- a/sidecar/program/src/endpoints.ts
+++ b/sidecar/program/src/endpoints.ts
@@ -2,7 +2,7 @@
 import { messageOf } from '@gullwall/core.error'
 import { type IdSequence } from '@gullwall/core.ids'
 import { type LocalEndpoint, type SidecarSettings } from '@gullwall/config.settings'
-import { type Endpoint, type HeadListener } from '@gullwall/endpoint.dialect'
+import { type Endpoint, type ResponseHeadListener } from '@gullwall/endpoint.dialect'
 import { HttpEndpoint } from '@gullwall/endpoint.http'
 import { OpenAiEngine } from '@gullwall/endpoint.openai'
 import { type ReservationBook } from '@gullwall/routing.reservations'
@@ -53,7 +53,7 @@
   return table
 }
 
-function connect ({ kind, name, address }: LocalEndpoint, onAnyHead: HeadListener): Endpoint {
+function connect ({ kind, name, address }: LocalEndpoint, onAnyHead: ResponseHeadListener): Endpoint {
   return kind === 'engine' ? new OpenAiEngine(name, address, onAnyHead) : new HttpEndpoint(name, address, onAnyHead)
 }
 
@@ -89,14 +89,14 @@
   /** Work goes first: a report is asked for only while half of the limit is left. */
   private hasRoomFor (name: string): boolean {
     const meter = this.services.notices.meterOf(name)
-    return !meter.isLimited || meter.free(performance.now()) >= Math.max(1, REPORT_SHARE * meter.most)
+    return !meter.isLimited || meter.remaining(performance.now()) >= Math.max(1, REPORT_SHARE * meter.maxRequests)
   }
 
   private async pollOne ({ endpoint, slots, local }: ServedEndpoint): Promise<void> {
     try {
-      if (endpoint.reportedLoad === undefined && !slots.isDraining) return
+      if (endpoint.readReportedLoad === undefined && !slots.isDraining) return
       this.services.notices.noteSent(local.name)
-      if (endpoint.reportedLoad !== undefined) slots.reportedInFlight = (await endpoint.reportedLoad()).inFlight
+      if (endpoint.readReportedLoad !== undefined) slots.reportedInFlight = (await endpoint.readReportedLoad()).inFlight
       else await endpoint.probe()
     } catch (error) {
       // A report that fails says nothing that attempts will not show better.
--- a/sidecar/program/src/engine-notices.ts
+++ b/sidecar/program/src/engine-notices.ts
@@ -3,10 +3,10 @@
  * has started again, one that wants to be left alone is asked for nothing for so long, not even for a report, and one that names a
  * limit of requests a second gets no more than that. This process is the only way to them, so that it keeps the limit alone.
  */
-import { type AnyHead } from '@gullwall/endpoint.dialect'
-import { describeNotices, readNotices } from '@gullwall/endpoint.notices'
-import { BackoffTable, recordOfTurn } from '@gullwall/routing.backoff'
-import { laterLimit, RateMeter, type HeldLimit } from '@gullwall/routing.rates'
+import { type ResponseHead } from '@gullwall/endpoint.dialect'
+import { describeNotices, parseNotices } from '@gullwall/endpoint.notices'
+import { BackoffTable, createTransitionRecord } from '@gullwall/routing.backoff'
+import { selectLatestLimit, RateMeter, type AdvertisedLimit } from '@gullwall/routing.rates'
 import { type SidecarServices } from './index.ts'
 
 export class EngineNotices {
@@ -14,7 +14,7 @@
   /** Times asked for that could not be understood, since the start. */
   unreadable = 0
   /** What endpoints said last of their limits. */
-  private readonly limits = new Map<string, HeldLimit>()
+  private readonly limits = new Map<string, AdvertisedLimit>()
   private readonly meters = new Map<string, RateMeter>()
   private readonly roomTimers = new Map<string, NodeJS.Timeout>()
   /** Since when endpoints drain, by the monotonic clock. */
@@ -23,9 +23,9 @@
   constructor (private readonly services: Pick<SidecarServices, 'logger' | 'endpoints' | 'entryLinks'>) {
     this.backoffs = new BackoffTable({
       // The endpoints are made with this object in hand, and are there once anything is asked of them.
-      onRoom: () => { for (const { slots } of this.services.endpoints.values()) slots.roomChanged() },
-      onTurn: (endpoint, turn) => {
-        services.logger.info(recordOfTurn(endpoint, turn))
+      onPermitsAvailable: () => { for (const { slots } of this.services.endpoints.values()) slots.roomChanged() },
+      onTransition: (endpoint, turn) => {
+        services.logger.info(createTransitionRecord(endpoint, turn))
         this.services.endpoints.get(endpoint)?.slots.roomChanged()
       }
     })
@@ -47,20 +47,20 @@
   noteSent (endpoint: string): void {
     const meter = this.meterOf(endpoint)
     const now = performance.now()
-    meter.note(now)
+    meter.recordSent(now)
     this.lookAgainIn(endpoint, meter.waitMs(now))
   }
 
   /** Takes the head of any answer of an endpoint. */
-  take (endpoint: string, { status, headers, sentAt }: AnyHead): void {
-    const notices = readNotices({ status, headers })
+  take (endpoint: string, { status, headers, sentAt }: ResponseHead): void {
+    const notices = parseNotices({ status, headers })
     const said = describeNotices(notices)
     if (said !== undefined) {
       this.services.logger.sampled('notice', { channel: 'endpoint', event: 'notice', endpoint, why: `answered ${status}, ${said}` })
     }
     if (notices.unreadable !== undefined) this.unreadable += 1
-    this.backoffs.note(endpoint, notices.backOffMs ?? 0)
-    if (notices.limit !== undefined) this.noteLimit(endpoint, { ...notices.limit, sentAt, heardAt: performance.now() })
+    this.backoffs.recordBackoff(endpoint, notices.backoffMs ?? 0)
+    if (notices.limit !== undefined) this.noteLimit(endpoint, { ...notices.limit, sentAt, receivedAt: performance.now() })
     const since = this.drainingSince.get(endpoint)
     if (notices.isDraining && since === undefined) this.setDraining(endpoint, true)
     // All answers of one that drains say so. An answer without the word to a later request comes from its next life.
@@ -71,17 +71,17 @@
   forget (endpoint: string): void {
     this.backoffs.forget(endpoint)
     this.limits.delete(endpoint)
-    this.meterOf(endpoint).limit(undefined)
+    this.meterOf(endpoint).setLimit(undefined)
     if (this.drainingSince.has(endpoint)) this.setDraining(endpoint, false)
     this.services.endpoints.get(endpoint)?.slots.roomChanged()
   }
 
-  private noteLimit (endpoint: string, word: HeldLimit): void {
-    const held = laterLimit(this.limits.get(endpoint), word)
+  private noteLimit (endpoint: string, word: AdvertisedLimit): void {
+    const held = selectLatestLimit(this.limits.get(endpoint), word)
     if (held === undefined) return
     this.limits.set(endpoint, held)
     const meter = this.meterOf(endpoint)
-    if (!meter.limit(held.perSecond)) return
+    if (!meter.setLimit(held.perSecond)) return
     const event = held.perSecond === undefined ? 'unlimited' : 'limited'
     const why = held.perSecond === undefined ? 'it names no limit any more' : `it takes ${held.perSecond} requests a second`
     this.services.logger.info({ channel: 'endpoint', event, endpoint, why })
--- a/sidecar/program/src/entry-links.ts
+++ b/sidecar/program/src/entry-links.ts
@@ -62,7 +62,7 @@
   leave (): void {
     this.isLeaving = true
     for (const [entry, link] of this.byEntry) {
-      this.services.book.drop(entry)
+      this.services.book.removeEntry(entry)
       this.sendEndpoints(link)
     }
   }
@@ -112,7 +112,7 @@
     this.services.spreader.closed(link)
     if (this.byEntry.get(link.peer.startId) !== link) return
     this.byEntry.delete(link.peer.startId)
-    this.services.book.drop(link.peer.startId)
+    this.services.book.removeEntry(link.peer.startId)
   }
 
   private receive (link: Link, message: Message): void {
@@ -121,7 +121,7 @@
     switch (message.kind) {
       case 'demand':
         if (this.isLeaving) break
-        book.update(link.peer.startId, message.rows)
+        book.updateDemand(link.peer.startId, message.rows)
         this.offerEverywhere()
         break
       case 'pass':
--- a/sidecar/program/src/index.ts
+++ b/sidecar/program/src/index.ts
@@ -117,7 +117,7 @@
           box: settings.box,
           revision: store.revision,
           leaving: entryLinks.isLeaving,
-          resting: notices.backoffs.resting(),
+          resting: notices.backoffs.listActive(),
           endpoints: [...endpoints.values()].map(({ slots }) => slots.load())
         }),
         '/attempts': () => ({ remembered: attempts.size })
--- a/sidecar/slots/src/index.ts
+++ b/sidecar/slots/src/index.ts
@@ -4,7 +4,7 @@
  */
 import { type EndpointLoad, type Tier } from '@gullwall/core.types'
 import { type IdSequence } from '@gullwall/core.ids'
-import { type BackoffTable, type Permit } from '@gullwall/routing.backoff'
+import { type BackoffTable, type BackoffPermit } from '@gullwall/routing.backoff'
 import { AdaptiveLimit, SampleWindow } from '@gullwall/routing.limits'
 import { type RateMeter } from '@gullwall/routing.rates'
 import { type ReservationBook } from '@gullwall/routing.reservations'
@@ -44,7 +44,7 @@
   startedAt: number
   /** Ends the attempt's stream so that it can go on elsewhere. */
   preempt: () => void
-  permit: Permit
+  permit: BackoffPermit
 }
 
 interface OpenOffer {
@@ -81,7 +81,7 @@
   private reportedGapMs = 0
 
   constructor (private readonly options: EndpointSlotsOptions) {
-    this.limit = new AdaptiveLimit({ start: options.startLimit, max: options.maxLimit })
+    this.limit = new AdaptiveLimit({ initialLimit: options.startLimit, maxLimit: options.maxLimit })
   }
 
   get inFlight (): number {
@@ -96,7 +96,7 @@
   /** How many attempts the endpoint itself takes now: none in a rest that it asked for or at its limit, few right after a rest. */
   private get room (): number {
     const { backoffs, meter, name } = this.options
-    return Math.min(backoffs.room(name), meter.free(performance.now()))
+    return Math.min(backoffs.availablePermits(name), meter.remaining(performance.now()))
   }
 
   /** Gives the attempt a slot, or false: then it is not run. */
@@ -104,12 +104,12 @@
     const mayRun = this.takeOffer(attempt) || this.options.admitWithoutSlot || this.mayGoAhead(attempt)
     // What the endpoint has said of itself since the offer counts.
     const { backoffs, meter, name, onSend } = this.options
-    const isTaken = mayRun && !this.isDraining && meter.free(performance.now()) >= 1
+    const isTaken = mayRun && !this.isDraining && meter.remaining(performance.now()) >= 1
     const permit = isTaken ? backoffs.acquire(name) : undefined
     if (permit === undefined) return false
     onSend()
     this.running.set(attempt.attemptId, { ...attempt, preempt, permit, startedAt: performance.now() })
-    if (this.spare === 0) this.limit.noteFull()
+    if (this.spare === 0) this.limit.recordFull()
     this.options.onChange()
     return true
   }
@@ -119,14 +119,14 @@
     const attempt = this.running.get(attemptId)
     if (attempt === undefined) return
     this.running.delete(attemptId)
-    attempt.permit.released()
+    attempt.permit.release()
     this.offerFree()
     this.options.onChange()
   }
 
   /** The endpoint has begun to answer an attempt, and did not turn it away. */
   noteAnswered (attemptId: string): void {
-    this.running.get(attemptId)?.permit.answered()
+    this.running.get(attemptId)?.permit.recordResponse()
   }
 
   /** Tells of a change in what the endpoint takes, and offers what it takes now. */
@@ -146,7 +146,7 @@
   offerFree (): void {
     while (this.spare > 0) {
       const held = this.held.shift()
-      const pick = held === undefined ? this.options.book.pick(this.options.name) : { ...held, floor: false }
+      const pick = held === undefined ? this.options.book.assignSlot(this.options.name) : { ...held, floor: false }
       if (pick === undefined) return
       this.offer(pick.entry, pick.class, pick.tier, pick.floor)
     }
@@ -220,7 +220,7 @@
   /** Without an offer an attempt gets a slot only if nobody of its tier or higher waits for one. */
   private mayGoAhead (attempt: SlotAttempt): boolean {
     if (this.spare === 0) return false
-    const waiting = this.options.book.highestTier(this.options.name)
+    const waiting = this.options.book.findHighestTier(this.options.name)
     return waiting === undefined || waiting > attempt.tier
   }
 
@@ -240,7 +240,7 @@
     const offerId = this.options.offerIds.next()
     const sent = this.options.sendOffer(entry, { kind: 'offer', offerId, endpoint: this.options.name, class: className, tier, floor })
     if (!sent) {
-      this.options.book.drop(entry)
+      this.options.book.removeEntry(entry)
       return
     }
     const timer = setTimeout(() => this.pass(offerId), OFFER_LIFETIME_MS)
--- a/transport/messages/src/index.ts
+++ b/transport/messages/src/index.ts
@@ -57,7 +57,7 @@
 })
 
 /** What an endpoint said in the head of an answer of the requests a second that it takes from all boxes together. */
-export const limitWordSchema = z.object({
+export const limitReportSchema = z.object({
   /** None where it named no limit any more. */
   perSecond: z.number().min(0).optional(),
   /** How long ago the request was sent that it answered, in ms, when the message was sent. */
@@ -80,7 +80,7 @@
   /** For how much longer the endpoint is cold, in ms, when the heartbeat was sent; none where it does not say. */
   coldMs: z.number().min(0).optional(),
   /** The latest word of its limit; none where it has named none, and from processes that do not know of limits. */
-  limit: limitWordSchema.optional(),
+  limit: limitReportSchema.optional(),
   /** Grows with every heartbeat, so that a late one is recognised. */
   sequence: count,
   /** How long ago the heartbeat arrived, in ms, when the message was sent. */
@@ -100,7 +100,7 @@
 })
 
 /** What one entry, or several together, have under way at one endpoint. */
-export const workSchema = z.object({
+export const loadSummarySchema = z.object({
   incarnation: z.string(),
   /** Prompt tokens that were sent there and are probably not read yet, by urgency. */
   unread: z.array(z.object({ urgency: count, tokens: count })),
@@ -123,7 +123,7 @@
 })
 
 /** What an entry would send to one endpoint that gets requests under a grant only: it is cold, or has named a limit. */
-export const grantWishSchema = z.object({
+export const grantRequestSchema = z.object({
   incarnation: z.string(),
   service: z.string(),
   /** How many requests it could send within the use of a grant. */
@@ -228,7 +228,7 @@
   /** What an entry has under way, all of it. Told to one control process, which tells it what the others have. */
   work: z.object({
     kind: z.literal('work'),
-    works: z.array(workSchema),
+    works: z.array(loadSummarySchema),
     /** What it has sent since it last told. */
     holdings: z.array(holdingSchema),
     /** What it has seen since it last told. */
@@ -245,7 +245,7 @@
     whole: z.boolean(),
     /** From how many peers the sender has heard lately; their entries are in the sums. */
     peers: count,
-    works: z.array(workSchema),
+    works: z.array(loadSummarySchema),
     holdings: z.array(holdingSchema)
   }),
   /** What control has learnt from the observations of its entries; only what has changed. */
@@ -259,14 +259,14 @@
    * An entry asks for leave to send to endpoints that are cold or have named a limit; a control process that does not grant passes
    * it to the one that does.
    */
-  coldAsk: z.object({ kind: z.literal('coldAsk'), entry: z.string(), wishes: z.array(grantWishSchema) }),
+  coldAsk: z.object({ kind: z.literal('coldAsk'), entry: z.string(), wishes: z.array(grantRequestSchema) }),
   coldGranted: z.object({ kind: z.literal('coldGranted'), grants: z.array(grantSchema) }),
   /** An entry tells of crashed endpoints, and of requests that ran well after they had been running at one; answered by `done`. */
   crashes: z.object({ kind: z.literal('crashes'), crashes: z.array(crashSchema), ranWell: z.array(z.string()) }),
   /** An entry tells of endpoints that said in an answer that they drain, by incarnation. */
   draining: z.object({ kind: z.literal('draining'), incarnations: z.array(z.string()) }),
   /** An entry tells what endpoints have said of their limits. */
-  limits: z.object({ kind: z.literal('limits'), limits: z.array(limitWordSchema.extend({ incarnation: z.string() })) }),
+  limits: z.object({ kind: z.literal('limits'), limits: z.array(limitReportSchema.extend({ incarnation: z.string() })) }),
   failed: z.object({ kind: z.literal('failed'), code: z.string(), message: z.string() }),
 
   // Among control processes: the quorum protocol. `to` is the incarnation that the sender takes the receiver for.
@@ -315,18 +315,18 @@
 export type MessageOf<Kind extends MessageKind> = z.infer<(typeof MESSAGE_SCHEMAS)[Kind]>
 export type Message = { [Kind in MessageKind]: MessageOf<Kind> }[MessageKind]
 export type Member = z.infer<typeof memberSchema>
-export type WorkSummary = z.infer<typeof workSchema>
+export type LoadSummary = z.infer<typeof loadSummarySchema>
 export type MemoryUse = z.infer<typeof memoryUseSchema>
-export type UnreadTokens = WorkSummary['unread'][number]
+export type UnreadTokens = LoadSummary['unread'][number]
 export type Holding = z.infer<typeof holdingSchema>
-export type GrantWish = z.infer<typeof grantWishSchema>
+export type GrantRequest = z.infer<typeof grantRequestSchema>
 export type Grant = z.infer<typeof grantSchema>
 export type Observation = z.infer<typeof observationSchema>
 export type Reading = z.infer<typeof readingSchema>
 export type UsageCount = z.infer<typeof usageCountSchema>
 export type UsageWindow = z.infer<typeof usageWindowSchema>
 export type UsageSource = z.infer<typeof usageSourceSchema>
-export type LimitWord = z.infer<typeof limitWordSchema>
+export type LimitReport = z.infer<typeof limitReportSchema>
 export type Lease = z.infer<typeof leaseSchema>
 export type Life = z.infer<typeof lifeSchema>
 export type DemandRow = z.infer<typeof demandRowSchema>
