--- a/endpoint/crashes/src/crash-watch.ts
+++ b/endpoint/crashes/src/crash-detector.ts
@@ -10,26 +10,26 @@
 export type ProbeResult = 'refused' | 'open' | 'silent'
 
 /** A request that was running at an endpoint when its connection closed. */
-export interface BrokenRequest {
+export interface InterruptedRequest {
   requestId: string
   fingerprint: string
 }
 
 /** The local state of an endpoint when a connection to it closes unexpectedly. */
-export interface BrokenEndpoint {
+export interface DisconnectedEndpoint {
   incarnation: string
   address: string
   /** The time without heartbeats of the endpoint while those of other endpoints arrived, in ms. */
   silentMs: number
 }
 
-export interface CrashWatchOptions {
+export interface CrashDetectorOptions {
   /** Returns the state that the endpoint last reported; undefined if it has no lease. */
-  stateOf: (incarnation: string) => Lease['state'] | undefined
+  getLeaseState: (incarnation: string) => Lease['state'] | undefined
   /** Whether a newer incarnation of the endpoint is known. */
   isReplaced: (incarnation: string) => boolean
   /** Called with the requests running at a crash, and again with each request whose connection closes later. */
-  onCrash: (endpoint: string, requests: BrokenRequest[]) => void
+  onCrash: (endpoint: string, requests: InterruptedRequest[]) => void
   probe?: (address: string) => Promise<ProbeResult>
   now?: () => number
 }
@@ -47,24 +47,24 @@
 const PROBE_TIMEOUT_MS = 400
 
 interface WatchedEndpoint {
-  requests: BrokenRequest[]
+  requests: InterruptedRequest[]
   since: number
   hasCrashed: boolean
 }
 
-export class CrashWatch {
+export class CrashDetector {
   private readonly watched = new Map<string, WatchedEndpoint>()
   private readonly now: () => number
   private readonly probe: (address: string) => Promise<ProbeResult>
   private timer: NodeJS.Timeout | undefined
 
-  constructor (private readonly options: CrashWatchOptions) {
+  constructor (private readonly options: CrashDetectorOptions) {
     this.now = options.now ?? (() => performance.now())
     this.probe = options.probe ?? probeAddress
   }
 
   start (): void {
-    this.timer = setInterval(() => this.look(), CHECK_INTERVAL_MS)
+    this.timer = setInterval(() => this.check(), CHECK_INTERVAL_MS)
   }
 
   stop (): void {
@@ -77,7 +77,7 @@
   }
 
   /** Records that a connection closed unexpectedly while a request was running at the endpoint. */
-  noteBroken (endpoint: BrokenEndpoint, request: BrokenRequest): void {
+  recordBrokenConnection (endpoint: DisconnectedEndpoint, request: InterruptedRequest): void {
     const { incarnation, address, silentMs } = endpoint
     const known = this.watched.get(incarnation)
     if (known !== undefined) {
@@ -86,20 +86,20 @@
       return
     }
     const now = this.now()
-    if (this.options.stateOf(incarnation) !== 'ready' || silentMs > MAX_SILENT_MS) return
+    if (this.options.getLeaseState(incarnation) !== 'ready' || silentMs > MAX_SILENT_MS) return
     const watched: WatchedEndpoint = { requests: [request], since: now, hasCrashed: false }
     this.watched.set(incarnation, watched)
     void this.probe(address).then((result) => {
-      if (result === 'refused') this.noteEnded(incarnation)
+      if (result === 'refused') this.recordProcessEnd(incarnation)
       if (result === 'silent' && !watched.hasCrashed) this.watched.delete(incarnation)
     })
   }
 
   /** Records that an endpoint's process is no longer at its address. This is a crash unless the endpoint was leaving. */
-  noteEnded (incarnation: string): void {
+  recordProcessEnd (incarnation: string): void {
     const known = this.watched.get(incarnation)
     if (known === undefined || known.hasCrashed) return
-    if (this.options.stateOf(incarnation) !== 'ready') {
+    if (this.options.getLeaseState(incarnation) !== 'ready') {
       this.watched.delete(incarnation)
       return
     }
@@ -108,10 +108,10 @@
   }
 
   /** Detects crashes of endpoints that have a new incarnation, and stops watching old ones. It is called periodically. */
-  look (): void {
+  check (): void {
     const now = this.now()
     for (const [incarnation, { since, hasCrashed }] of this.watched) {
-      if (!hasCrashed && this.options.isReplaced(incarnation)) this.noteEnded(incarnation)
+      if (!hasCrashed && this.options.isReplaced(incarnation)) this.recordProcessEnd(incarnation)
       else if (now - since > (hasCrashed ? CRASH_RETENTION_MS : DETECTION_MS)) this.watched.delete(incarnation)
     }
   }
--- a/endpoint/crashes/src/crash-reporter.ts
+++ b/endpoint/crashes/src/crash-reporter.ts
@@ -1,7 +1,7 @@
 /** Reports to control which requests were running at crashed endpoints, and repeats each report until a quorum has it. */
 import { messageOf } from '@gullwall/core.error'
 import { type Logger } from '@gullwall/core.logger'
-import { blamed, type Crash } from '@gullwall/routing.quarantine'
+import { findCrashCauses, type Crash } from '@gullwall/routing.quarantine'
 import { type MessageOf } from '@gullwall/transport.messages'
 
 /** The delay before a report is sent, in ms, so that it covers all requests of a crash. */
@@ -19,14 +19,14 @@
 
 export interface CrashReporterOptions {
   /** Sends a report to control; rejects if no quorum has it. */
-  tell: (report: Omit<MessageOf<'crashes'>, 'kind'>) => Promise<void>
+  sendReport: (report: Omit<MessageOf<'crashes'>, 'kind'>) => Promise<void>
   logger: Logger
   now?: () => number
 }
 
 export class CrashReporter {
   /** The number of crashes recorded since the process started. */
-  crashes = 0
+  crashCount = 0
   private unreported: Crash[] = []
   /** Fingerprints of requests that completed after they had been running at a crash, to be reported. */
   private succeeded: string[] = []
@@ -51,8 +51,8 @@
   }
 
   /** Records a crash with the requests that were running there. */
-  note (crash: Crash): void {
-    this.crashes += 1
+  recordCrash (crash: Crash): void {
+    this.crashCount += 1
     this.unreported = [...this.unreported, crash].slice(-MAX_UNREPORTED)
     this.localDecision = undefined
     for (const fingerprint of crash.requests) {
@@ -64,7 +64,7 @@
   }
 
   /** Records that a request completed without a crash. The fingerprint is computed only if requests are watched. */
-  noteRanWell (computeFingerprint: () => string): void {
+  recordSuccess (computeFingerprint: () => string): void {
     if (this.watched.size === 0) return
     const fingerprint = computeFingerprint()
     if (!this.watched.delete(fingerprint)) return
@@ -76,10 +76,12 @@
    * The requests to quarantine on the evidence of this process alone. The set is empty while reports reach control, which has the
    * evidence of all processes.
    */
-  get heldWithoutControl (): ReadonlySet<string> {
+  get locallyQuarantined (): ReadonlySet<string> {
     const isIsolated = this.pendingSince !== undefined && this.now() - this.pendingSince > ISOLATION_MS
     if (!isIsolated) return NONE
-    this.localDecision ??= new Set(blamed({ crashes: groupByEndpoint(this.unreported), held: NONE, suspected: NONE }))
+    this.localDecision ??= new Set(findCrashCauses({
+      crashes: groupByEndpoint(this.unreported), quarantined: NONE, formerlyQuarantined: NONE
+    }))
     return this.localDecision
   }
 
@@ -100,7 +102,7 @@
     const succeeded = this.succeeded
     let delayMs = REPORT_DELAY_MS
     try {
-      await this.options.tell({ crashes, ranWell: succeeded })
+      await this.options.sendReport({ crashes, ranWell: succeeded })
       this.unreported = this.unreported.filter((crash) => !crashes.includes(crash))
       this.succeeded = this.succeeded.filter((fingerprint) => !succeeded.includes(fingerprint))
       this.localDecision = undefined
--- a/endpoint/crashes/src/index.ts
+++ b/endpoint/crashes/src/index.ts
@@ -1,3 +1,3 @@
 /** Detection of endpoint crashes, and reports of the requests that were running there. */
 export * from './crash-reporter.ts'
-export * from './crash-watch.ts'
+export * from './crash-detector.ts'
--- a/endpoint/crashes/test/crash-watch.test.ts
+++ b/endpoint/crashes/test/crash-detector.test.ts
@@ -1,11 +1,11 @@
 import { beforeEach, describe, expect, it } from 'vitest'
 import { createServer, type AddressInfo } from 'node:net'
 import { type Lease } from '@gullwall/transport.messages'
-import { CrashWatch, probeAddress, type BrokenRequest, type ProbeResult } from '../src/crash-watch.ts'
+import { CrashDetector, probeAddress, type InterruptedRequest, type ProbeResult } from '../src/crash-detector.ts'
 
 const ENGINE = { incarnation: 'i-1', address: '127.0.0.1:1', silentMs: 0 }
-const FIRST: BrokenRequest = { requestId: 'r1', fingerprint: 'f1' }
-const SECOND: BrokenRequest = { requestId: 'r2', fingerprint: 'f2' }
+const FIRST: InterruptedRequest = { requestId: 'r1', fingerprint: 'f1' }
+const SECOND: InterruptedRequest = { requestId: 'r2', fingerprint: 'f2' }
 
 /** Waits until the results of probes have been handled. */
 const probesHandled = async () => { await new Promise((resolve) => setImmediate(resolve)) }
@@ -16,8 +16,8 @@
   let isReplaced: boolean
   let probeResult: ProbeResult
   let probes: number
-  let reported: Array<{ endpoint: string, requests: BrokenRequest[] }>
-  let watch: CrashWatch
+  let reported: Array<{ endpoint: string, requests: InterruptedRequest[] }>
+  let watch: CrashDetector
 
   beforeEach(() => {
     now = 1000
@@ -26,8 +26,8 @@
     probeResult = 'refused'
     probes = 0
     reported = []
-    watch = new CrashWatch({
-      stateOf: () => state,
+    watch = new CrashDetector({
+      getLeaseState: () => state,
       isReplaced: () => isReplaced,
       onCrash: (endpoint, requests) => reported.push({ endpoint, requests }),
       probe: async () => {
@@ -39,11 +39,11 @@
   })
 
   it('has crashed if its address refuses connections, and all requests running there are reported, also later ones', async () => {
-    watch.noteBroken(ENGINE, FIRST)
-    watch.noteBroken(ENGINE, SECOND)
+    watch.recordBrokenConnection(ENGINE, FIRST)
+    watch.recordBrokenConnection(ENGINE, SECOND)
     await probesHandled()
     expect(reported).toEqual([{ endpoint: 'i-1', requests: [FIRST, SECOND] }])
-    watch.noteBroken(ENGINE, { requestId: 'r3', fingerprint: 'f3' })
+    watch.recordBrokenConnection(ENGINE, { requestId: 'r3', fingerprint: 'f3' })
     expect(reported.at(-1)?.requests).toEqual([{ requestId: 'r3', fingerprint: 'f3' }])
     expect(probes).toBe(1)
   })
@@ -57,11 +57,11 @@
   ])('has not crashed if %s', async (_condition, change) => {
     state = change.state ?? 'ready'
     probeResult = change.probeResult ?? 'refused'
-    watch.noteBroken({ ...ENGINE, silentMs: change.silentMs ?? 0 }, FIRST)
+    watch.recordBrokenConnection({ ...ENGINE, silentMs: change.silentMs ?? 0 }, FIRST)
     await probesHandled()
     for (let check = 0; check < 50; check += 1) {
       now += 100
-      watch.look()
+      watch.check()
     }
     expect(reported).toEqual([])
     expect(watch.size).toBe(0)
@@ -69,46 +69,46 @@
 
   it('has crashed if its next incarnation is known, although the address accepts connections again', async () => {
     probeResult = 'open'
-    watch.noteBroken(ENGINE, FIRST)
+    watch.recordBrokenConnection(ENGINE, FIRST)
     await probesHandled()
-    watch.look()
+    watch.check()
     expect(reported).toEqual([])
     isReplaced = true
-    watch.look()
+    watch.check()
     expect(reported).toEqual([{ endpoint: 'i-1', requests: [FIRST] }])
   })
 
   it('has crashed if a later request finds that no process is listening', async () => {
     probeResult = 'open'
-    watch.noteBroken(ENGINE, FIRST)
+    watch.recordBrokenConnection(ENGINE, FIRST)
     await probesHandled()
-    watch.noteEnded('i-1')
+    watch.recordProcessEnd('i-1')
     expect(reported.length).toBe(1)
   })
 
   it('has not crashed if it reports that it is leaving shortly after its connections closed', async () => {
     probeResult = 'open'
-    watch.noteBroken(ENGINE, FIRST)
+    watch.recordBrokenConnection(ENGINE, FIRST)
     await probesHandled()
     state = 'gone'
-    watch.noteEnded('i-1')
+    watch.recordProcessEnd('i-1')
     expect(reported).toEqual([])
   })
 
   it('remains crashed if the probe of its address times out after the crash was detected', async () => {
     probeResult = 'silent'
-    watch.noteBroken(ENGINE, FIRST)
-    watch.noteEnded('i-1')
+    watch.recordBrokenConnection(ENGINE, FIRST)
+    watch.recordProcessEnd('i-1')
     await probesHandled()
-    watch.noteBroken(ENGINE, SECOND)
+    watch.recordBrokenConnection(ENGINE, SECOND)
     expect(reported.map(({ requests }) => requests)).toEqual([[FIRST], [SECOND]])
   })
 
   it('is no longer watched some seconds after a crash', async () => {
-    watch.noteBroken(ENGINE, FIRST)
+    watch.recordBrokenConnection(ENGINE, FIRST)
     await probesHandled()
     now += 11_000
-    watch.look()
+    watch.check()
     expect(watch.size).toBe(0)
   })
 })
--- a/endpoint/crashes/test/crash-reporter.test.ts
+++ b/endpoint/crashes/test/crash-reporter.test.ts
@@ -15,7 +15,7 @@
     isControlReachable = true
     reporter = new CrashReporter({
       logger: { sampled: () => {} } as never,
-      tell: async (report) => {
+      sendReport: async (report) => {
         if (!isControlReachable) throw new Error('no quorum')
         reports.push(report)
       }
@@ -26,7 +26,7 @@
     vi.useRealTimers()
   })
 
-  const recordCrash = (number: number, ...requests: string[]) => reporter.note({ endpoint: `i-${number}`, requests })
+  const recordCrash = (number: number, ...requests: string[]) => reporter.recordCrash({ endpoint: `i-${number}`, requests })
 
   it('reports crashes of the same moment together and once', async () => {
     recordCrash(1, 'a')
@@ -47,20 +47,20 @@
   it('quarantines requests locally while control is unreachable, and no longer once control has the report', async () => {
     isControlReachable = false
     for (const number of [1, 2, 3]) recordCrash(number, 'a', `only-${number}`)
-    expect(reporter.heldWithoutControl.size).toBe(0)
+    expect(reporter.locallyQuarantined.size).toBe(0)
     await vi.advanceTimersByTimeAsync(1500)
-    expect([...reporter.heldWithoutControl]).toEqual(['a'])
+    expect([...reporter.locallyQuarantined]).toEqual(['a'])
     isControlReachable = true
     await vi.advanceTimersByTimeAsync(1000)
-    expect(reporter.heldWithoutControl.size).toBe(0)
+    expect(reporter.locallyQuarantined.size).toBe(0)
   })
 
   it('reports a watched request that completed once, and computes no fingerprint while no request is watched', async () => {
-    reporter.noteRanWell(() => { throw new Error('not needed') })
+    reporter.recordSuccess(() => { throw new Error('not needed') })
     recordCrash(1, 'a')
-    reporter.noteRanWell(() => 'another')
-    reporter.noteRanWell(() => 'a')
-    reporter.noteRanWell(() => 'a')
+    reporter.recordSuccess(() => 'another')
+    reporter.recordSuccess(() => 'a')
+    reporter.recordSuccess(() => 'a')
     await vi.advanceTimersByTimeAsync(100)
     expect(reports.flatMap(({ ranWell }) => ranWell)).toEqual(['a'])
   })
--- a/endpoint/dialect/src/index.ts
+++ b/endpoint/dialect/src/index.ts
@@ -13,7 +13,7 @@
 }
 
 /** Receives an endpoint's response while it arrives. */
-export interface AnswerReceiver {
+export interface ResponseReceiver {
   /** Called with the status and headers of the final response. */
   onHead: (status: number, headers: IncomingHttpHeaders) => void
   /** Called with each chunk of the body. If it returns a promise, reading pauses until the promise resolves. */
@@ -26,7 +26,7 @@
 }
 
 /** The status and headers of a response, including interim responses. */
-export interface AnyHead {
+export interface ResponseHead {
   status: number
   headers: IncomingHttpHeaders
   /** When the request was sent, in ms of the monotonic clock. */
@@ -34,7 +34,7 @@
 }
 
 /** Called with the headers of every response of an endpoint, including responses to probes and load queries. */
-export type HeadListener = (head: AnyHead) => void
+export type ResponseHeadListener = (head: ResponseHead) => void
 
 /** A back end that runs requests. */
 export interface Endpoint {
@@ -43,9 +43,9 @@
    * @throws ERR_GULLWALL_ENDPOINT_REFUSED if the request was certainly not run,
    *   ERR_GULLWALL_ENDPOINT_FAILED if it may have run.
    */
-  run (call: EndpointCall, receiver: AnswerReceiver): Promise<void>
+  run (call: EndpointCall, receiver: ResponseReceiver): Promise<void>
   /** Queries the load report, if the dialect has one. */
-  reportedLoad? (): Promise<ReportedLoad>
+  readReportedLoad? (): Promise<ReportedLoad>
   /** Requests only response headers, to read the notices in them. A probe does not count as a request in flight. */
   probe (): Promise<void>
   close (): Promise<void>
--- a/endpoint/http/src/exchange.ts
+++ b/endpoint/http/src/exchange.ts
@@ -3,14 +3,15 @@
  * the connection: a readable stream between them would need a turn of the event loop and a buffer for each chunk.
  */
 import { type Dispatcher, type Pool } from 'undici'
-import { type AnswerReceiver, type HeadListener } from '@gullwall/endpoint.dialect'
+import { type ResponseReceiver, type ResponseHeadListener } from '@gullwall/endpoint.dialect'
 
 /** The lowest status of a final response; lower ones are interim responses. */
 const MIN_FINAL_STATUS = 200
 
 /** Sends a request. Resolves when the response is complete, and rejects if the response fails or the signal aborts it. */
 export function exchange (
-  pool: Pool, options: Dispatcher.DispatchOptions, receiver: AnswerReceiver, signal: AbortSignal, onAnyHead: HeadListener = () => {}
+  pool: Pool, options: Dispatcher.DispatchOptions, receiver: ResponseReceiver, signal: AbortSignal,
+  onAnyHead: ResponseHeadListener = () => {}
 ): Promise<void> {
   let sentAt = performance.now()
   return new Promise((resolve, reject) => {
--- a/endpoint/http/src/index.ts
+++ b/endpoint/http/src/index.ts
@@ -1,7 +1,7 @@
 /** The HTTP client that all dialects use: a pool of undici connections for each endpoint. */
 import { Pool, type Dispatcher } from 'undici'
 import { GullwallError } from '@gullwall/core.error'
-import { type AnswerReceiver, type Endpoint, type EndpointCall, type HeadListener } from '@gullwall/endpoint.dialect'
+import { type ResponseReceiver, type Endpoint, type EndpointCall, type ResponseHeadListener } from '@gullwall/endpoint.dialect'
 import { exchange } from './exchange.ts'
 
 export { exchange } from './exchange.ts'
@@ -22,7 +22,7 @@
 }
 
 /** Selects the headers that may be forwarded: no hop-by-hop headers and none that `Connection` lists. Names become lower case. */
-export function endToEndHeaders (headers: Record<string, string | string[] | undefined>): Record<string, string | string[]> {
+export function selectEndToEndHeaders (headers: Record<string, string | string[] | undefined>): Record<string, string | string[]> {
   const connectionHeaders = String(headers['connection'] ?? '').toLowerCase().split(',').map((name) => name.trim())
   const selected: Record<string, string | string[]> = {}
   for (const [name, value] of Object.entries(headers)) {
@@ -43,11 +43,13 @@
   private readonly pool: Pool
 
   /** @param onAnyHead listener for all response headers, including those of interim responses */
-  constructor (private readonly name: string, private readonly address: string, private readonly onAnyHead: HeadListener = () => {}) {
+  constructor (
+    private readonly name: string, private readonly address: string, private readonly onAnyHead: ResponseHeadListener = () => {}
+  ) {
     this.pool = createPool(address)
   }
 
-  async run (call: EndpointCall, receiver: AnswerReceiver): Promise<void> {
+  async run (call: EndpointCall, receiver: ResponseReceiver): Promise<void> {
     const options = { method: call.method as Dispatcher.HttpMethod, path: call.path, headers: call.headers, body: call.body }
     try {
       await exchange(this.pool, options, receiver, call.signal, this.onAnyHead)
--- a/endpoint/notices/src/notices.ts
+++ b/endpoint/notices/src/notices.ts
@@ -1,25 +1,25 @@
 /** Parses the notices in the headers of one response. */
-import { readLimit, type LimitWord } from './limit.ts'
-import { readRetryAfter } from './retry-after.ts'
+import { parseLimit, type LimitNotice } from './limit.ts'
+import { parseRetryAfter } from './retry-after.ts'
 
 /** Header names in lower case. */
-export type AnswerHeaders = Record<string, string | string[] | undefined>
+export type ResponseHeaders = Record<string, string | string[] | undefined>
 
 /** What an endpoint states about itself in response headers. */
 export interface Notices {
   /** Whether the endpoint accepts no new requests, since it is about to stop. */
   isDraining: boolean
   /** The requested backoff in ms after the response; undefined if the endpoint requests none. */
-  backOffMs: number | undefined
+  backoffMs: number | undefined
   /** The advertised limit; undefined if these headers do not change it. */
-  limit?: LimitWord | undefined
+  limit?: LimitNotice | undefined
   /** Header values that are invalid, shortened. */
   unreadable?: string | undefined
 }
 
-export interface NoticesOptions {
+export interface ParseNoticesOptions {
   status: number
-  headers: AnswerHeaders
+  headers: ResponseHeaders
   /** The header that marks an endpoint as draining, in lower case; Gullwall's own unless an adapter provides another. */
   drainingHeader?: string
   /** The header with the advertised limit in requests per second, in lower case; Gullwall's own unless an adapter provides another. */
@@ -42,36 +42,36 @@
 const FALSE_VALUES: ReadonlySet<string> = new Set(['', '0', 'false', 'no'])
 
 /** Parses the notices in the headers of any response. */
-export function readNotices (options: NoticesOptions): Notices {
+export function parseNotices (options: ParseNoticesOptions): Notices {
   const { headers, drainingHeader = DRAINING_HEADER, limitHeader = LIMIT_HEADER, status } = options
   const isDraining = getValues(headers, drainingHeader).some((value) => !FALSE_VALUES.has(value.trim().toLowerCase()))
-  const limit = readLimit(getValues(headers, limitHeader), { isInterim: status < MIN_FINAL_STATUS })
-  const notices: Notices = { isDraining, limit: limit.word, ...parseBackoff(options) }
+  const limit = parseLimit(getValues(headers, limitHeader), { isInterim: status < MIN_FINAL_STATUS })
+  const notices: Notices = { isDraining, limit: limit.notice, ...parseBackoff(options) }
   const unreadable = [notices.unreadable, limit.unreadable].filter((text) => text !== undefined)
   return unreadable.length === 0 ? notices : { ...notices, unreadable: unreadable.join(' | ').slice(0, MAX_UNREADABLE_LENGTH) }
 }
 
-function parseBackoff ({ status, headers, now = Date.now() }: NoticesOptions): Pick<Notices, 'backOffMs' | 'unreadable'> {
+function parseBackoff ({ status, headers, now = Date.now() }: ParseNoticesOptions): Pick<Notices, 'backoffMs' | 'unreadable'> {
   const values = BACKOFF_STATUSES.has(status) ? getValues(headers, 'retry-after') : []
-  if (values.length === 0) return { backOffMs: undefined }
+  if (values.length === 0) return { backoffMs: undefined }
   const [date] = getValues(headers, 'date')
-  const times = values.map((text) => readRetryAfter(text, { date, now })).filter((ms) => ms !== undefined)
-  if (times.length === 0) return { backOffMs: undefined, unreadable: values.join(' | ').slice(0, MAX_UNREADABLE_LENGTH) }
-  return { backOffMs: Math.max(...times) }
+  const times = values.map((text) => parseRetryAfter(text, { date, now })).filter((ms) => ms !== undefined)
+  if (times.length === 0) return { backoffMs: undefined, unreadable: values.join(' | ').slice(0, MAX_UNREADABLE_LENGTH) }
+  return { backoffMs: Math.max(...times) }
 }
 
 /** Returns all values of a header, which may occur several times. */
-function getValues (headers: AnswerHeaders, name: string): string[] {
+function getValues (headers: ResponseHeaders, name: string): string[] {
   const value = headers[name]
   if (value === undefined) return []
   return Array.isArray(value) ? value : [value]
 }
 
 /** Describes notices for a log line; undefined if there are none. */
-export function describeNotices ({ isDraining, backOffMs, limit, unreadable }: Notices): string | undefined {
+export function describeNotices ({ isDraining, backoffMs, limit, unreadable }: Notices): string | undefined {
   const parts = [
     ...(isDraining ? ['draining'] : []),
-    ...(backOffMs === undefined ? [] : [`backoff of ${Math.round(backOffMs)} ms requested`]),
+    ...(backoffMs === undefined ? [] : [`backoff of ${Math.round(backoffMs)} ms requested`]),
     ...(limit?.perSecond === undefined ? [] : [`limit of ${limit.perSecond} requests per second from all boxes advertised`]),
     ...(unreadable === undefined ? [] : [`invalid header values: ${unreadable}`])
   ]
--- a/endpoint/notices/src/retry-after.ts
+++ b/endpoint/notices/src/retry-after.ts
@@ -11,7 +11,7 @@
 const HAS_TIME_ZONE = /(?:GMT|UTC|[+-]\d{4})$/
 
 /** The time of a response, to which a date in `Retry-After` is relative. */
-export interface AnswerTime {
+export interface ResponseTime {
   /** The `Date` header of the response, which comes from the same clock as a date in `Retry-After`. */
   date: string | undefined
   /** The local time in Unix ms, which is used if the response has no valid `Date` header. */
@@ -19,7 +19,7 @@
 }
 
 /** Parses a `Retry-After` value to a time in ms; 0 if its date has passed, and undefined if the value is invalid. */
-export function readRetryAfter (text: string, { date, now }: AnswerTime): number | undefined {
+export function parseRetryAfter (text: string, { date, now }: ResponseTime): number | undefined {
   const trimmed = text.trim()
   if (SECONDS.test(trimmed)) return Math.min(MAX_BACKOFF_MS, Number(trimmed) * MS_PER_SECOND)
   const until = parseDate(trimmed)
--- a/endpoint/openai/src/request-body.ts
+++ b/endpoint/openai/src/request-body.ts
@@ -13,7 +13,7 @@
 export type ChatRequest = z.infer<typeof chatRequestSchema>
 
 /** The part of a completion that was received before its stream was interrupted. */
-export interface PartialAnswer {
+export interface PartialCompletion {
   text: string
   /** The number of events with content, which have one token each. */
   tokens: number
@@ -23,13 +23,13 @@
  * Adds the priority to a JSON body without parsing the body. The last of several equal keys takes effect, so that callers can't
  * set their own priority.
  */
-export function withPriority (body: Buffer, priority: number): Buffer {
+export function addPriority (body: Buffer, priority: number): Buffer {
   const brace = body.lastIndexOf('}')
   return Buffer.concat([body.subarray(0, brace), Buffer.from(`,"priority":${priority}}`)])
 }
 
 /** Creates the body of a request that continues a partial completion. Token limits are reduced by the tokens received so far. */
-export function resumedBody (body: Buffer, partial: PartialAnswer): Buffer {
+export function createResumeBody (body: Buffer, partial: PartialCompletion): Buffer {
   const request = JSON.parse(body.toString('utf8')) as ChatRequest
   const resumed: Record<string, unknown> = {
     ...request,
--- a/endpoint/openai/src/sse.ts
+++ b/endpoint/openai/src/sse.ts
@@ -5,7 +5,7 @@
 import { type IncomingHttpHeaders } from 'node:http'
 import { createParser } from 'eventsource-parser'
 import { z } from 'zod'
-import { type PartialAnswer } from './request-body.ts'
+import { type PartialCompletion } from './request-body.ts'
 
 const EVENT_END = Buffer.from('\n\n')
 const DONE_EVENT = Buffer.from('data: [DONE]\n\n')
@@ -22,14 +22,14 @@
 const END_REASONS: readonly EndReason[] = ['preempted', 'engine-failed', 'stalled']
 
 /** Formats the last event of a stream that a sidecar ends early: a comment, which the parsers of callers ignore. */
-export function endComment (reason: EndReason): string {
+export function formatEndComment (reason: EndReason): string {
   return `${END_COMMENT}${reason}\n\n`
 }
 
 /** Forwards a stream in complete events and removes the sidecar's end comment. */
 export class EventRelay {
   /** Whether the last event of the stream was `[DONE]`. */
-  done = false
+  isDone = false
   /** The reason from the sidecar's end comment; undefined if there was none. */
   endReason: EndReason | undefined
   /** The beginning of an event that is not yet complete. */
@@ -49,7 +49,7 @@
   }
 
   private removeEndComment (events: Buffer): Buffer | undefined {
-    if (endsWith(events, DONE_EVENT)) this.done = true
+    if (endsWith(events, DONE_EVENT)) this.isDone = true
     const lastStart = findStartOfLastEvent(events)
     const last = events.subarray(lastStart)
     if (last[0] !== END_COMMENT.charCodeAt(0)) return events
@@ -70,17 +70,17 @@
 })
 
 /** The completion received so far, parsed from the events when a stream is resumed. */
-export interface AnswerSoFar extends PartialAnswer {
+export interface StreamedCompletion extends PartialCompletion {
   id: string | undefined
   /** Unix time in seconds, as sent by the engine. */
   created: number | undefined
   /** Whether the completion has a finish reason, so that only `[DONE]` may be missing. */
-  finished: boolean
+  isFinished: boolean
 }
 
 /** Parses the completion received so far from the chunks of a stream. */
-export function readAnswer (chunks: readonly Buffer[]): AnswerSoFar {
-  const completion: AnswerSoFar = { text: '', tokens: 0, id: undefined, created: undefined, finished: false }
+export function readCompletion (chunks: readonly Buffer[]): StreamedCompletion {
+  const completion: StreamedCompletion = { text: '', tokens: 0, id: undefined, created: undefined, isFinished: false }
   forEachChunk(Buffer.concat(chunks).toString('utf8'), (chunk) => {
     completion.id ??= chunk.id
     completion.created ??= chunk.created
@@ -88,7 +88,7 @@
     const content = choice?.delta?.content ?? ''
     if (content !== '') completion.tokens += 1
     completion.text += content
-    if (typeof choice?.finish_reason === 'string') completion.finished = true
+    if (typeof choice?.finish_reason === 'string') completion.isFinished = true
   })
   return completion
 }
@@ -97,7 +97,7 @@
  * Rewrites the events of a resumed stream so that they continue the completion `before`: with the same id and creation time, and
  * without a second event that only contains the role.
  */
-export function rewriteResumed (events: Buffer, before: AnswerSoFar): Buffer {
+export function rewriteResumedEvents (events: Buffer, before: StreamedCompletion): Buffer {
   let rewritten = ''
   const parser = createParser({
     onEvent: ({ data }) => {
--- a/routing/backoff/src/backoff-table.ts
+++ b/routing/backoff/src/backoff-table.ts
@@ -1,16 +1,16 @@
 /** The backoffs that endpoints requested from this process. They are not shared: an endpoint addresses each client individually. */
 import { type EndpointRecord } from '@gullwall/core.logger'
-import { Backoff, IDLE_MS, OPEN_PERMIT, type Permit } from './backoff.ts'
+import { Backoff, IDLE_RESET_MS, UNRESTRICTED_PERMIT, type BackoffPermit } from './backoff.ts'
 
 /** At this size the oldest entry is dropped. One process reaches at most 12,000 endpoints in the largest deployment. */
 const MAX_ENDPOINTS = 16_384
 const MS_PER_SECOND = 1000
 
 /** The start of a backoff, with its length in ms, or its end. */
-export type BackoffTurn = { event: 'began', ms: number } | { event: 'ended' }
+export type BackoffTransition = { event: 'began', ms: number } | { event: 'ended' }
 
 /** Creates the log record of a transition. */
-export function recordOfTurn (endpoint: string, turn: BackoffTurn): EndpointRecord {
+export function createTransitionRecord (endpoint: string, turn: BackoffTransition): EndpointRecord {
   return turn.event === 'began'
     ? { channel: 'endpoint', event: 'backs-off', endpoint, why: `backoff of ${Math.round(turn.ms)} ms requested` }
     : { channel: 'endpoint', event: 'back', endpoint, why: 'backoff ended; slow start begins' }
@@ -18,16 +18,16 @@
 
 export interface BackoffTableOptions {
   /** Called when an endpoint may accept more requests, so that waiting requests check again. */
-  onRoom: () => void
+  onPermitsAvailable: () => void
   /** Called when the backoff of an endpoint begins or ends. */
-  onTurn?: (endpoint: string, turn: BackoffTurn) => void
+  onTransition?: (endpoint: string, turn: BackoffTransition) => void
   now?: () => number
 }
 
 /** Backoffs by endpoint. */
 export class BackoffTable {
   /** The number of backoff requests since the process started. */
-  asked = 0
+  requestedCount = 0
   private readonly backoffs = new Map<string, Backoff>()
   private readonly timers = new Map<string, NodeJS.Timeout>()
   private readonly now: () => number
@@ -46,7 +46,7 @@
   }
 
   /** Returns the endpoints in backoff, with the remaining time in ms. */
-  resting (): Array<{ endpoint: string, leftMs: number }> {
+  listActive (): Array<{ endpoint: string, leftMs: number }> {
     const now = this.now()
     return [...this.backoffs].flatMap(([endpoint, backoff]) => {
       const leftMs = backoff.remainingMs(now)
@@ -55,12 +55,12 @@
   }
 
   /** Records that an endpoint requested a backoff of `ms`; ignores 0. */
-  note (endpoint: string, ms: number): void {
+  recordBackoff (endpoint: string, ms: number): void {
     if (ms <= 0) return
-    this.asked += 1
+    this.requestedCount += 1
     const backoff = this.backoffs.get(endpoint) ?? this.add(endpoint)
     const now = this.now()
-    if (backoff.extend(ms, now)) this.options.onTurn?.(endpoint, { event: 'began', ms })
+    if (backoff.extend(ms, now)) this.options.onTransition?.(endpoint, { event: 'began', ms })
     this.scheduleCheck(endpoint, backoff.remainingMs(now))
   }
 
@@ -71,32 +71,32 @@
   }
 
   /** The number of requests that may be sent to an endpoint now; `Infinity` without backoff or slow start. */
-  room (endpoint: string): number {
+  availablePermits (endpoint: string): number {
     if (this.backoffs.size === 0) return Infinity
-    return this.backoffs.get(endpoint)?.room(this.now()) ?? Infinity
+    return this.backoffs.get(endpoint)?.availablePermits(this.now()) ?? Infinity
   }
 
   /** Describes why no request may be sent to an endpoint now; undefined if one may be sent. */
-  whyNot (endpoint: string): string | undefined {
-    if (this.room(endpoint) > 0) return undefined
+  findBlockReason (endpoint: string): string | undefined {
+    if (this.availablePermits(endpoint) > 0) return undefined
     const leftMs = this.remainingMs(endpoint)
     return leftMs > 0
-      ? `${endpoint} wants nothing for ${(leftMs / MS_PER_SECOND).toFixed(1)} s more`
+      ? `${endpoint} requested a backoff; ${(leftMs / MS_PER_SECOND).toFixed(1)} s remain`
       : `${endpoint} is in slow start after a backoff, and its window is full`
   }
 
   /** Returns a permit for a request that is sent now, or undefined if none is available. The caller must release the permit. */
-  acquire (endpoint: string): Permit | undefined {
+  acquire (endpoint: string): BackoffPermit | undefined {
     const backoff = this.backoffs.get(endpoint)
-    if (backoff === undefined) return OPEN_PERMIT
+    if (backoff === undefined) return UNRESTRICTED_PERMIT
     const permit = backoff.acquire(this.now())
     if (permit === undefined) return undefined
     const withUpdate = (record: () => void) => () => {
       record()
       this.dropIfFinished(endpoint, backoff)
-      this.options.onRoom()
+      this.options.onPermitsAvailable()
     }
-    return { answered: withUpdate(permit.answered), released: withUpdate(permit.released) }
+    return { recordResponse: withUpdate(permit.recordResponse), release: withUpdate(permit.release) }
   }
 
   /** Drops the backoff of an endpoint, for example because its process has ended. */
@@ -134,14 +134,14 @@
     }
     this.dropIfFinished(endpoint, backoff)
     if (!this.backoffs.has(endpoint)) return
-    this.scheduleCheck(endpoint, IDLE_MS)
-    if (backoff.hasEnded) return
-    backoff.hasEnded = true
-    this.options.onTurn?.(endpoint, { event: 'ended' })
-    this.options.onRoom()
+    this.scheduleCheck(endpoint, IDLE_RESET_MS)
+    if (backoff.isEndReported) return
+    backoff.isEndReported = true
+    this.options.onTransition?.(endpoint, { event: 'ended' })
+    this.options.onPermitsAvailable()
   }
 
   private dropIfFinished (endpoint: string, backoff: Backoff): void {
-    if (this.backoffs.get(endpoint) === backoff && backoff.isOver(this.now())) this.forget(endpoint)
+    if (this.backoffs.get(endpoint) === backoff && backoff.isFinished(this.now())) this.forget(endpoint)
   }
 }
--- a/routing/backoff/src/backoff.ts
+++ b/routing/backoff/src/backoff.ts
@@ -9,36 +9,36 @@
 /** At this window the slow start ends: the endpoint has accepted 1, 2, 4 and 8 concurrent requests. */
 const FINAL_WINDOW = 16
 /** The slow start also ends if no request is pending this long after the backoff, in ms: queued requests are gone by then. */
-export const IDLE_MS = 10_000
+export const IDLE_RESET_MS = 10_000
 
 /** Permission to send one request to an endpoint. */
-export interface Permit {
+export interface BackoffPermit {
   /** Records that the endpoint accepted the request and has begun to respond. */
-  answered: () => void
+  recordResponse: () => void
   /** Records that the attempt has ended, whatever its result. */
-  released: () => void
+  release: () => void
 }
 
 /** The permit for an endpoint without a backoff. */
-export const OPEN_PERMIT: Permit = { answered: () => {}, released: () => {} }
+export const UNRESTRICTED_PERMIT: BackoffPermit = { recordResponse: () => {}, release: () => {} }
 
 /** The backoff and slow start of one endpoint. All times are in ms of the monotonic clock. */
 export class Backoff {
   /** The end of the backoff. */
-  until = -Infinity
+  endsAt = -Infinity
   /** Whether the end of the backoff has been reported. */
-  hasEnded = false
+  isEndReported = false
   private window = INITIAL_WINDOW
-  private readonly unanswered = new Set<Permit>()
+  private readonly unanswered = new Set<BackoffPermit>()
 
   /**
    * Starts or extends the backoff and restarts the slow start. The backoff is never shortened.
    * @returns true if no backoff was active
    */
   extend (ms: number, now: number): boolean {
-    const isNew = now >= this.until
-    this.until = Math.max(this.until, now + ms)
-    this.hasEnded = false
+    const isNew = now >= this.endsAt
+    this.endsAt = Math.max(this.endsAt, now + ms)
+    this.isEndReported = false
     this.window = INITIAL_WINDOW
     // Requests sent before the backoff must not widen the window after it.
     this.unanswered.clear()
@@ -46,28 +46,28 @@
   }
 
   remainingMs (now: number): number {
-    return Math.max(0, this.until - now)
+    return Math.max(0, this.endsAt - now)
   }
 
   /** The number of requests that may be sent now. */
-  room (now: number): number {
-    return now < this.until ? 0 : Math.max(0, this.window - this.unanswered.size)
+  availablePermits (now: number): number {
+    return now < this.endsAt ? 0 : Math.max(0, this.window - this.unanswered.size)
   }
 
   /** Whether backoff and slow start have ended, so that requests are no longer limited. */
-  isOver (now: number): boolean {
-    if (now < this.until) return false
-    return this.window >= FINAL_WINDOW || (this.unanswered.size === 0 && now - this.until >= IDLE_MS)
+  isFinished (now: number): boolean {
+    if (now < this.endsAt) return false
+    return this.window >= FINAL_WINDOW || (this.unanswered.size === 0 && now - this.endsAt >= IDLE_RESET_MS)
   }
 
   /** Returns a permit for one request, or undefined if none may be sent now. */
-  acquire (now: number): Permit | undefined {
-    if (this.room(now) === 0) return undefined
-    const permit: Permit = {
-      answered: () => {
+  acquire (now: number): BackoffPermit | undefined {
+    if (this.availablePermits(now) === 0) return undefined
+    const permit: BackoffPermit = {
+      recordResponse: () => {
         if (this.unanswered.delete(permit)) this.window = Math.min(FINAL_WINDOW, 2 * this.window)
       },
-      released: () => { this.unanswered.delete(permit) }
+      release: () => { this.unanswered.delete(permit) }
     }
     this.unanswered.add(permit)
     return permit
--- a/routing/backoff/test/backoff-table.test.ts
+++ b/routing/backoff/test/backoff-table.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
-import { BackoffTable, OPEN_PERMIT, type Permit } from '../src/index.ts'
+import { BackoffTable, UNRESTRICTED_PERMIT, type BackoffPermit } from '../src/index.ts'
 
 interface Transition {
   endpoint: string
@@ -16,8 +16,8 @@
   transitions.length = 0
   availabilityCalls = 0
   table = new BackoffTable({
-    onRoom: () => { availabilityCalls += 1 },
-    onTurn: (endpoint, { event }) => transitions.push({ endpoint, event })
+    onPermitsAvailable: () => { availabilityCalls += 1 },
+    onTransition: (endpoint, { event }) => transitions.push({ endpoint, event })
   })
 })
 afterEach(() => {
@@ -26,64 +26,64 @@
 })
 
 /** Acquires all permits that are available for endpoint `a`. */
-function acquireAll (): Permit[] {
-  const permits: Permit[] = []
+function acquireAll (): BackoffPermit[] {
+  const permits: BackoffPermit[] = []
   for (let permit = table.acquire('a'); permit !== undefined && permits.length < 100; permit = table.acquire('a')) permits.push(permit)
   return permits
 }
 
 describe('an endpoint that requested a backoff', () => {
   it('receives no request until the longest backoff has ended, and its end is reported once', () => {
-    table.note('a', 3000)
-    table.note('a', 1000)
+    table.recordBackoff('a', 3000)
+    table.recordBackoff('a', 1000)
     vi.advanceTimersByTime(2900)
-    expect({ left: table.remainingMs('a'), room: table.room('a'), permit: table.acquire('a') }).toEqual({ left: 100, room: 0, permit: undefined })
-    expect(table.whyNot('a')).toBe('a wants nothing for 0.1 s more')
-    expect({ room: table.room('b'), permit: table.acquire('b') }).toEqual({ room: Infinity, permit: OPEN_PERMIT })
+    expect({ left: table.remainingMs('a'), room: table.availablePermits('a'), permit: table.acquire('a') }).toEqual({ left: 100, room: 0, permit: undefined })
+    expect(table.findBlockReason('a')).toBe('a requested a backoff; 0.1 s remain')
+    expect({ room: table.availablePermits('b'), permit: table.acquire('b') }).toEqual({ room: Infinity, permit: UNRESTRICTED_PERMIT })
     vi.advanceTimersByTime(110)
-    expect({ left: table.remainingMs('a'), room: table.room('a') }).toEqual({ left: 0, room: 1 })
+    expect({ left: table.remainingMs('a'), room: table.availablePermits('a') }).toEqual({ left: 0, room: 1 })
     expect(transitions).toEqual([{ endpoint: 'a', event: 'began' }, { endpoint: 'a', event: 'ended' }])
     expect(availabilityCalls).toBe(1)
   })
 
   it('is not limited by a backoff of 0 s', () => {
-    table.note('a', 0)
-    expect({ size: table.size, room: table.room('a') }).toEqual({ size: 0, room: Infinity })
+    table.recordBackoff('a', 0)
+    expect({ size: table.size, room: table.availablePermits('a') }).toEqual({ size: 0, room: Infinity })
   })
 
   it('may receive 1, 2, 4 and 8 requests at a time during the slow start, and any number afterwards', () => {
-    table.note('a', 1000)
+    table.recordBackoff('a', 1000)
     vi.advanceTimersByTime(1001)
     const windows = []
     while (table.size > 0) {
       const permits = acquireAll()
       windows.push(permits.length)
-      permits.forEach(({ answered, released }, index) => {
-        if (index === 0) answered()
-        released()
+      permits.forEach(({ recordResponse, release }, index) => {
+        if (index === 0) recordResponse()
+        release()
       })
     }
     expect(windows).toEqual([1, 2, 4, 8])
-    expect(table.acquire('a')).toBe(OPEN_PERMIT)
+    expect(table.acquire('a')).toBe(UNRESTRICTED_PERMIT)
   })
 
   it('receives one request at a time until it has responded to one, also after a second backoff', () => {
-    table.note('a', 1000)
+    table.recordBackoff('a', 1000)
     vi.advanceTimersByTime(1001)
     expect(acquireAll()).toHaveLength(1)
-    expect(table.whyNot('a')).toBe('a is in slow start after a backoff, and its window is full')
+    expect(table.findBlockReason('a')).toBe('a is in slow start after a backoff, and its window is full')
     expect(acquireAll()).toHaveLength(0)
-    table.note('a', 500)
+    table.recordBackoff('a', 500)
     vi.advanceTimersByTime(501)
     const [permit] = acquireAll()
-    permit?.released()
+    permit?.release()
     expect(acquireAll()).toHaveLength(1)
   })
 
   it('reports the end of a second backoff that begins during the slow start on time', () => {
-    table.note('a', 1000)
+    table.recordBackoff('a', 1000)
     vi.advanceTimersByTime(1001)
-    table.note('a', 500)
+    table.recordBackoff('a', 500)
     availabilityCalls = 0
     vi.advanceTimersByTime(502)
     expect(availabilityCalls).toBe(1)
@@ -91,15 +91,15 @@
   })
 
   it('is no longer tracked ten seconds after the backoff if no request was sent', () => {
-    table.note('a', 1000)
+    table.recordBackoff('a', 1000)
     vi.advanceTimersByTime(11_100)
     expect(table.size).toBe(0)
   })
 
   it('is not tracked after its backoff is dropped', () => {
-    table.note('a', 5000)
+    table.recordBackoff('a', 5000)
     table.forget('a')
-    expect(table.room('a')).toBe(Infinity)
+    expect(table.availablePermits('a')).toBe(Infinity)
     vi.advanceTimersByTime(6000)
     expect(transitions.filter(({ event }) => event === 'ended')).toEqual([])
   })
@@ -107,7 +107,7 @@
 
 describe('the backoff table', () => {
   it('keeps a bounded number of endpoints and drops the oldest', () => {
-    for (let index = 0; index < 20_000; index += 1) table.note(`e-${index}`, 60_000)
+    for (let index = 0; index < 20_000; index += 1) table.recordBackoff(`e-${index}`, 60_000)
     expect(table.size).toBe(16_384)
     expect(table.remainingMs('e-19999')).toBeGreaterThan(0)
   })
@@ -124,21 +124,21 @@
       const pendingReleases: Array<() => void> = []
       for (const next of steps) {
         if (next.type === 'note') {
-          table.note('a', next.ms)
+          table.recordBackoff('a', next.ms)
           if (next.ms > 0) until = Math.max(until, performance.now() + next.ms)
         } else if (next.type === 'wait') {
           vi.advanceTimersByTime(next.ms)
         } else {
           const permit = table.acquire('a')
           if (permit !== undefined) expect(performance.now()).toBeGreaterThanOrEqual(until)
-          if (next.isAnswered) permit?.answered()
-          if (next.isReleased) permit?.released()
-          else if (permit !== undefined) pendingReleases.push(permit.released)
+          if (next.isAnswered) permit?.recordResponse()
+          if (next.isReleased) permit?.release()
+          else if (permit !== undefined) pendingReleases.push(permit.release)
         }
       }
       for (const release of pendingReleases) release()
       vi.advanceTimersByTime(30_000)
-      expect(table.acquire('a')).toBe(OPEN_PERMIT)
+      expect(table.acquire('a')).toBe(UNRESTRICTED_PERMIT)
       expect(table.size).toBe(0)
     }), { numRuns: 300 })
   })
--- a/routing/dispatcher/src/demand-sender.ts
+++ b/routing/dispatcher/src/demand-sender.ts
@@ -43,7 +43,7 @@
   }
 
   /** Records an offer, for which the sidecar has subtracted one request from its summary. */
-  noteOffer (port: SidecarPort, className: string): void {
+  recordOffer (port: SidecarPort, className: string): void {
     for (const row of this.sentRows.get(port)?.values() ?? []) {
       if (row.class !== className || row.count === 0) continue
       row.count -= 1
@@ -51,7 +51,7 @@
     }
   }
 
-  forget (port: SidecarPort): void {
+  removeSidecar (port: SidecarPort): void {
     this.sentRows.delete(port)
   }
 
--- a/routing/dispatcher/src/endpoint-directory.ts
+++ b/routing/dispatcher/src/endpoint-directory.ts
@@ -35,7 +35,7 @@
     for (const stale of known?.endpoints ?? []) {
       if (!names.includes(stale)) this.views.delete(stale)
     }
-    this.invalidate()
+    this.clearReachCache()
   }
 
   /** Removes a sidecar whose link has closed. */
@@ -46,7 +46,7 @@
     for (const name of known.endpoints) {
       if (this.views.get(name)?.sidecar === port) this.views.delete(name)
     }
-    this.invalidate()
+    this.clearReachCache()
   }
 
   /**
@@ -57,14 +57,14 @@
     const view = this.views.get(load.name)
     if (view?.sidecar !== port) return false
     view.load = load
-    view.restsUntil = performance.now() + (load.backOffMs ?? 0)
+    view.backoffUntil = performance.now() + (load.backOffMs ?? 0)
     return true
   }
 
   /** Sets the names of the boxes that the platform lists as leaving. */
   setLeavingBoxes (boxes: ReadonlySet<string>): void {
     this.leavingBoxes = boxes
-    this.invalidate()
+    this.clearReachCache()
   }
 
   get (endpoint: string): EndpointView | undefined {
@@ -84,7 +84,7 @@
   }
 
   /** Returns the endpoints that a request may use, regardless of their load and health. */
-  reachOf (query: ReachQuery): readonly EndpointView[] {
+  findReachableEndpoints (query: ReachQuery): readonly EndpointView[] {
     const cached = this.reachCache.get(query.group)
     if (cached !== undefined) return cached
     const selectors = query.selectors.map(parseSelectorOrNone)
@@ -94,12 +94,12 @@
   }
 
   /** Clears the cached selections. It must be called after each change of records. */
-  invalidate (): void {
+  clearReachCache (): void {
     this.reachCache.clear()
   }
 
   /** Returns the models and services of all linked endpoints. */
-  served (): Set<string> {
+  listServed (): Set<string> {
     return new Set([...this.views.values()].map((view) => view.description.serves))
   }
 
@@ -115,13 +115,13 @@
     if (this.sidecars.get(sidecar.name)?.isLeaving === true || this.leavingBoxes.has(sidecar.name)) return false
     const record = this.records.get('endpoint', description.name)
     if (record?.cordoned === true) return false
-    const labels = labelsOf(view, record?.labels ?? {})
+    const labels = mergeLabels(view, record?.labels ?? {})
     return selectors.every((selector) => matches(selector, labels))
   }
 }
 
 /** Merges the labels of an endpoint: its sidecar's, then those of the operators' record, then the built-in ones. */
-export function labelsOf (view: EndpointView, recordLabels: Labels): Labels {
+export function mergeLabels (view: EndpointView, recordLabels: Labels): Labels {
   const { description, sidecar } = view
   return {
     ...description.labels,
@@ -139,7 +139,7 @@
 }
 
 function createView (description: EndpointDescription, sidecar: SidecarPort): EndpointView {
-  return { description, sidecar, load: createEmptyLoad(description.name), restsUntil: 0, outstanding: 0, probing: false }
+  return { description, sidecar, load: createEmptyLoad(description.name), backoffUntil: 0, outstanding: 0, isProbing: false }
 }
 
 function createEmptyLoad (name: string): EndpointLoad {
--- a/routing/dispatcher/src/run-costs.ts
+++ b/routing/dispatcher/src/run-costs.ts
@@ -10,7 +10,7 @@
   private readonly meanMs = new Map<string, number>()
 
   /** Estimates the cost of a request of a class, in ms. */
-  assumed (className: string): number {
+  estimate (className: string): number {
     return this.meanMs.get(className) ?? INITIAL_ESTIMATE_MS
   }
 
@@ -18,9 +18,9 @@
    * Records a measured cost.
    * @returns the difference from the estimate before the measurement, in ms
    */
-  settle (className: string, actualMs: number): number {
-    const correction = actualMs - this.assumed(className)
-    this.meanMs.set(className, this.assumed(className) + SMOOTHING * correction)
+  recordActual (className: string, actualMs: number): number {
+    const correction = actualMs - this.estimate(className)
+    this.meanMs.set(className, this.estimate(className) + SMOOTHING * correction)
     return correction
   }
 }
--- a/routing/dispatcher/src/types.ts
+++ b/routing/dispatcher/src/types.ts
@@ -18,7 +18,7 @@
   /** Label selectors that an endpoint must satisfy, as text. */
   selectors: readonly string[]
   /** Names of endpoints that failed this request before. */
-  avoid: Set<string>
+  avoidedEndpoints: Set<string>
 }
 
 /** Permission to run a request on an endpoint. */
@@ -31,7 +31,7 @@
   queuedMs: number
   /** In ms of the monotonic clock. */
   grantedAt: number
-  why: string
+  reason: string
 }
 
 export type RefusalReason = 'resting' | 'queue-full' | 'wait-passed' | 'wait-too-long' | 'cancelled' | 'stopping'
@@ -39,7 +39,7 @@
 /** The result for a request that was certainly not run. */
 export interface Refusal {
   reason: RefusalReason
-  why: string
+  explanation: string
   retryAfterMs: number
 }
 
@@ -69,9 +69,9 @@
   sidecar: SidecarPort
   load: EndpointLoad
   /** The end of the backoff that the endpoint requested, in ms of the monotonic clock; 0 if it requested none. */
-  restsUntil: number
+  backoffUntil: number
   /** The number of this entry's attempts in flight at the endpoint. */
   outstanding: number
   /** Whether a probe of this entry is in flight at the endpoint. */
-  probing: boolean
+  isProbing: boolean
 }
--- a/routing/fair-queue/src/index.ts
+++ b/routing/fair-queue/src/index.ts
@@ -49,17 +49,17 @@
   }
 
   /** The number of waiting requests that have not run before. */
-  get freshSize (): number {
+  get unstartedSize (): number {
     return this.total - this.resumedTotal
   }
 
   /** Adds a request. With `front` it ran in part and is queued ahead of its organisation's other requests. */
-  push (item: Item, options: { front?: boolean } = {}): void {
+  push (item: Item, options: { atFront?: boolean } = {}): void {
     const group = this.getOrCreateGroup(item)
     const lane = group.getOrCreateLane(item.organisation)
-    const target = options.front === true ? lane.resumed : lane.unstarted
+    const target = options.atFront === true ? lane.resumed : lane.unstarted
     target.add(item)
-    if (options.front === true) this.resumedTotal += 1
+    if (options.atFront === true) this.resumedTotal += 1
     group.size += 1
     this.total += 1
     this.getOrCreateShares(item.tier).join(item.organisation)
@@ -108,7 +108,7 @@
   }
 
   /** Returns one waiting request of each group. */
-  samples (): Item[] {
+  groupSamples (): Item[] {
     return [...this.groups.values()].map((group) => group.sample)
   }
 
@@ -145,7 +145,7 @@
    * Selects the request to shed when the queue is full: the newest request in the largest group of the lowest tier, from the
    * organisation with the most requests there. A request that ran in part is selected only if all requests of that tier did.
    */
-  victim (): Victim<Item> | undefined {
+  findVictim (): Victim<Item> | undefined {
     let lowest: Group<Item> | undefined
     for (const group of this.groups.values()) {
       const isLower = lowest === undefined || group.tier > lowest.tier
--- a/routing/health/src/index.ts
+++ b/routing/health/src/index.ts
@@ -24,7 +24,7 @@
 export interface HealthChange {
   endpoint: string
   state: HealthState
-  why: string
+  reason: string
 }
 
 interface EndpointHealth {
@@ -58,12 +58,12 @@
   }
 
   /** Records that a stream of this process stalled, which load reports do not show. */
-  noteStall (endpoint: string): void {
+  recordStall (endpoint: string): void {
     this.getOrCreate(endpoint).stalls += 1
   }
 
   /** Records a successful request. It resets stalls and counts as a successful probe while the endpoint is probed. */
-  noteSuccess (endpoint: string): void {
+  recordSuccess (endpoint: string): void {
     const health = this.healthByEndpoint.get(endpoint)
     if (health === undefined) return
     health.stalls = 0
@@ -71,7 +71,7 @@
   }
 
   /** Records a failed request. While the endpoint is probed, this ejects it again. */
-  noteProbeFailure (endpoint: string, now = performance.now()): void {
+  recordProbeFailure (endpoint: string, now = performance.now()): void {
     const health = this.healthByEndpoint.get(endpoint)
     if (health?.state === 'probing') eject(health, now)
   }
@@ -101,14 +101,14 @@
     if (health.state === 'probing') return this.endProbe(sample.name, health, unhealthyReason, now)
     if (unhealthyReason === undefined || !this.canEject(peers)) return undefined
     eject(health, now)
-    return { endpoint: sample.name, state: 'ejected', why: unhealthyReason }
+    return { endpoint: sample.name, state: 'ejected', reason: unhealthyReason }
   }
 
   private startProbeIfDue (endpoint: string, health: EndpointHealth, now: number): HealthChange | undefined {
     if (now < health.ejectedUntil) return undefined
     health.state = 'probing'
     health.probeSuccesses = 0
-    return { endpoint, state: 'probing', why: `ejected ${health.ejections} times` }
+    return { endpoint, state: 'probing', reason: `ejected ${health.ejections} times` }
   }
 
   /** Readmits an endpoint after its probes, or ejects it again if it is still unhealthy, even if all probes succeeded. */
@@ -116,12 +116,12 @@
     if (now < health.ejectedUntil + MIN_PROBE_MS) return undefined
     if (unhealthyReason !== undefined) {
       eject(health, now)
-      return { endpoint, state: 'ejected', why: unhealthyReason }
+      return { endpoint, state: 'ejected', reason: unhealthyReason }
     }
     if (health.probeSuccesses < MIN_PROBE_SUCCESSES) return undefined
     health.state = 'healthy'
     health.stalls = 0
-    return { endpoint, state: 'healthy', why: `${health.probeSuccesses} probes succeeded` }
+    return { endpoint, state: 'healthy', reason: `${health.probeSuccesses} probes succeeded` }
   }
 
   private canEject (peers: readonly EndpointSample[]): boolean {
--- a/routing/limits/src/adaptive-limit.ts
+++ b/routing/limits/src/adaptive-limit.ts
@@ -3,11 +3,11 @@
  * decrease). It rises by one while this time is well below its target and all slots are taken, and falls by a factor when the
  * time is close to or above the target.
  */
-import { SampleWindow } from './window.ts'
+import { SampleWindow } from './sample-window.ts'
 
 export interface AdaptiveLimitOptions {
-  start: number
-  max: number
+  initialLimit: number
+  maxLimit: number
   /** The number of samples after which the limit is adapted. */
   samplesPerStep?: number
 }
@@ -30,7 +30,7 @@
   private wasFull = false
 
   constructor (private readonly options: AdaptiveLimitOptions) {
-    this.value = Math.min(options.start, options.max)
+    this.value = Math.min(options.initialLimit, options.maxLimit)
     this.samplesPerStep = options.samplesPerStep ?? DEFAULT_SAMPLES_PER_STEP
     this.gaps = new SampleWindow(this.samplesPerStep)
   }
@@ -41,7 +41,7 @@
   }
 
   /** Records that all slots are taken. The limit rises only if this happened since the last step. */
-  noteFull (): void {
+  recordFull (): void {
     this.wasFull = true
   }
 
@@ -60,7 +60,7 @@
     const before = this.limit
     const gapToTarget = this.gaps.quantile(TARGET_QUANTILE)
     if (gapToTarget > DECREASE_THRESHOLD) this.value = Math.max(1, this.value * DECREASE_FACTOR)
-    else if (gapToTarget < INCREASE_THRESHOLD && this.wasFull) this.value = Math.min(this.options.max, this.value + 1)
+    else if (gapToTarget < INCREASE_THRESHOLD && this.wasFull) this.value = Math.min(this.options.maxLimit, this.value + 1)
     this.samplesSinceStep = 0
     this.wasFull = false
     return this.limit !== before
--- a/routing/limits/src/retry-budget.ts
+++ b/routing/limits/src/retry-budget.ts
@@ -8,7 +8,7 @@
 export class RetryBudget {
   private balance = INITIAL_BUDGET
 
-  noteSuccess (): void {
+  recordSuccess (): void {
     this.balance = Math.min(MAX_BUDGET, this.balance + RETRIES_PER_SUCCESS)
   }
 
@@ -16,7 +16,7 @@
    * Takes one retry from the budget.
    * @returns false if the budget is spent
    */
-  take (): boolean {
+  tryTake (): boolean {
     if (this.balance < 1) return false
     this.balance -= 1
     return true
--- a/routing/policies/src/index.ts
+++ b/routing/policies/src/index.ts
@@ -1,5 +1,5 @@
 /** Baseline policies that bind a request to an endpoint when it arrives, for comparison with late binding; see docs/decisions. */
-import { pickOne, type EndpointView } from '@gullwall/routing.dispatcher'
+import { pickRandom, type EndpointView } from '@gullwall/routing.dispatcher'
 
 export type BaselineName = 'round-robin' | 'least-reported-load' | 'power-of-two'
 
@@ -21,13 +21,13 @@
 
 function chooseLeastReportedLoad (candidates: readonly EndpointView[]): EndpointView | undefined {
   const least = Math.min(...candidates.map((candidate) => candidate.load.reportedInFlight))
-  return pickOne(candidates.filter((candidate) => candidate.load.reportedInFlight === least))
+  return pickRandom(candidates.filter((candidate) => candidate.load.reportedInFlight === least))
 }
 
 /** Chooses the less loaded of two random endpoints. */
 function choosePowerOfTwo (candidates: readonly EndpointView[]): EndpointView | undefined {
-  const first = pickOne(candidates)
-  const second = pickOne(candidates)
+  const first = pickRandom(candidates)
+  const second = pickRandom(candidates)
   if (first === undefined || second === undefined) return first
   return computeLoad(second) < computeLoad(first) ? second : first
 }
--- a/routing/quarantine/src/blame.ts
+++ b/routing/quarantine/src/crash-causes.ts
@@ -5,46 +5,47 @@
  */
 
 /** The score from which a request is quarantined. Retried requests may be present at two crashes by chance. */
-export const CRASHES_NEEDED = 3
+export const MIN_CRASHES = 3
 /** Where another request was in as many of the same crashes neither is held yet, but with so many both are. */
 const CONCLUSIVE_CRASHES = 5
 /** The weight in the score of a crash that another request explains; other crashes count 1. */
 const EXPLAINED_WEIGHT = 0.5
 
 /** The fingerprints of the requests that were running at one endpoint when it crashed. */
-export type CrashedTogether = ReadonlySet<string>
+export type RequestsAtCrash = ReadonlySet<string>
 
-export interface BlameOptions {
-  crashes: Iterable<CrashedTogether>
+export interface CrashCauseOptions {
+  crashes: Iterable<RequestsAtCrash>
   /** Quarantined requests, which explain the crashes they were present at. */
-  held: ReadonlySet<string>
+  quarantined: ReadonlySet<string>
   /** Requests released from quarantine, for which one further crash is enough. */
-  suspected: ReadonlySet<string>
+  formerlyQuarantined: ReadonlySet<string>
 }
 
 interface Candidate {
   fingerprint: string
   /** Crashes at which it was running and that no other request explains. */
-  unexplained: ReadonlySet<CrashedTogether>
+  unexplained: ReadonlySet<RequestsAtCrash>
   score: number
 }
 
 /** Returns further requests to quarantine. The result does not depend on the order of the crashes. */
-export function blamed ({ crashes, held, suspected }: BlameOptions): string[] {
+export function findCrashCauses ({ crashes, quarantined, formerlyQuarantined }: CrashCauseOptions): string[] {
   const all = [...crashes]
   const found = new Set<string>()
-  const isExplained = (crash: CrashedTogether) => [...crash].some((fingerprint) => held.has(fingerprint) || found.has(fingerprint))
+  const isExplained = (crash: RequestsAtCrash) => [...crash].some((fingerprint) => quarantined.has(fingerprint) || found.has(fingerprint))
   for (;;) {
-    const candidates = rankCandidates(all, isExplained).filter(({ fingerprint }) => !held.has(fingerprint) && !found.has(fingerprint))
-    const next = candidates.find((candidate) => isCause(candidate, candidates, suspected))
+    const candidates = rankCandidates(all, isExplained)
+      .filter(({ fingerprint }) => !quarantined.has(fingerprint) && !found.has(fingerprint))
+    const next = candidates.find((candidate) => isCause(candidate, candidates, formerlyQuarantined))
     if (next === undefined) return [...found]
     found.add(next.fingerprint)
   }
 }
 
 /** Returns the requests that were running at an unexplained crash, by descending score. */
-function rankCandidates (crashes: readonly CrashedTogether[], isExplained: (crash: CrashedTogether) => boolean): Candidate[] {
-  const unexplained = new Map<string, Set<CrashedTogether>>()
+function rankCandidates (crashes: readonly RequestsAtCrash[], isExplained: (crash: RequestsAtCrash) => boolean): Candidate[] {
+  const unexplained = new Map<string, Set<RequestsAtCrash>>()
   const explainedCounts = new Map<string, number>()
   for (const crash of crashes) {
     const hasCause = isExplained(crash)
@@ -62,7 +63,7 @@
 function isCause (candidate: Candidate, candidates: readonly Candidate[], suspected: ReadonlySet<string>): boolean {
   const { fingerprint, score } = candidate
   if (suspected.has(fingerprint) || score >= CONCLUSIVE_CRASHES) return true
-  if (score < CRASHES_NEEDED) return false
+  if (score < MIN_CRASHES) return false
   return !candidates.some((other) => other !== candidate && other.score >= score && sharesCrash(other, candidate))
 }
 
--- a/routing/quarantine/src/crash-evidence.ts
+++ b/routing/quarantine/src/crash-evidence.ts
@@ -2,7 +2,7 @@
  * The endpoint crashes seen so far, the requests that were running there, and the requests that are quarantined as a result.
  * The state is deterministic and has no clock: the replicating caller decides when to evaluate and when to drop old crashes.
  */
-import { blamed } from './blame.ts'
+import { findCrashCauses } from './crash-causes.ts'
 
 /** A crash of an endpoint, with the requests of one box that were running there. */
 export interface Crash {
@@ -20,7 +20,7 @@
 const MAX_QUARANTINED = 1000
 
 /** The evidence as stored in a snapshot. `suspected` are formerly quarantined requests. */
-export interface EvidenceDump {
+export interface EvidenceSnapshot {
   crashes: Array<[endpoint: string, requests: string[]]>
   held: string[]
   suspected: string[]
@@ -36,12 +36,12 @@
   private isEvaluationCurrent = true
 
   /** Whether no crash was recorded since the last evaluation. */
-  get isJudged (): boolean {
+  get isEvaluated (): boolean {
     return this.isEvaluationCurrent
   }
 
   /** The fingerprints of the quarantined requests. */
-  get held (): ReadonlySet<string> {
+  get quarantined (): ReadonlySet<string> {
     return this.quarantinedRequests
   }
 
@@ -51,13 +51,13 @@
   }
 
   /** The number of requests that were running when an endpoint crashed and are not quarantined. */
-  get suspects (): number {
+  get suspectCount (): number {
     const all = new Set([...this.crashes.values()].flatMap((requests) => [...requests]))
     return [...all].filter((fingerprint) => !this.quarantinedRequests.has(fingerprint)).length
   }
 
   /** Records crashes. Repeated reports change nothing, and reports of several boxes about one crash are merged. */
-  note (crashes: readonly Crash[]): void {
+  recordCrashes (crashes: readonly Crash[]): void {
     for (const { endpoint, requests } of crashes) {
       const known = this.crashes.get(endpoint) ?? new Set()
       const added = requests.filter((fingerprint) => !known.has(fingerprint)).slice(0, MAX_REQUESTS - known.size)
@@ -73,7 +73,7 @@
    * Removes all evidence against requests that completed without a crash.
    * @returns the requests that leave quarantine
    */
-  clear (requests: readonly string[]): string[] {
+  clearRequests (requests: readonly string[]): string[] {
     for (const fingerprint of requests) {
       this.formerlyQuarantined.delete(fingerprint)
       for (const crash of this.crashes.values()) crash.delete(fingerprint)
@@ -85,8 +85,10 @@
    * Quarantines the requests that the recorded crashes indicate.
    * @returns the newly quarantined requests, and the oldest ones that were released because the quarantine is full
    */
-  judge (): { held: string[], released: string[] } {
-    const held = blamed({ crashes: this.crashes.values(), held: this.quarantinedRequests, suspected: this.formerlyQuarantined })
+  evaluate (): { held: string[], released: string[] } {
+    const held = findCrashCauses({
+      crashes: this.crashes.values(), quarantined: this.quarantinedRequests, formerlyQuarantined: this.formerlyQuarantined
+    })
     this.isEvaluationCurrent = true
     for (const fingerprint of held) {
       this.quarantinedRequests.add(fingerprint)
@@ -96,7 +98,7 @@
   }
 
   /** Counts the kept crashes at which a request was running. */
-  crashesOf (fingerprint: string): number {
+  countCrashes (fingerprint: string): number {
     return [...this.crashes.values()].filter((requests) => requests.has(fingerprint)).length
   }
 
@@ -109,7 +111,7 @@
    * Releases requests from quarantine. One further crash quarantines them again.
    * @returns the requests that were quarantined
    */
-  release (requests: readonly string[]): string[] {
+  releaseRequests (requests: readonly string[]): string[] {
     const released = requests.filter((fingerprint) => this.quarantinedRequests.delete(fingerprint))
     for (const fingerprint of released) {
       // With its earlier crashes the request would be quarantined again at once.
@@ -120,12 +122,12 @@
     return released
   }
 
-  dump (): EvidenceDump {
+  createSnapshot (): EvidenceSnapshot {
     const crashes = [...this.crashes].map(([endpoint, requests]): [string, string[]] => [endpoint, [...requests]])
     return { crashes, held: [...this.quarantinedRequests], suspected: [...this.formerlyQuarantined], isJudged: this.isEvaluationCurrent }
   }
 
-  restore ({ crashes, held, suspected, isJudged }: EvidenceDump): void {
+  restore ({ crashes, held, suspected, isJudged }: EvidenceSnapshot): void {
     this.crashes.clear()
     this.quarantinedRequests.clear()
     this.formerlyQuarantined.clear()
--- a/routing/quarantine/src/fingerprint.ts
+++ b/routing/quarantine/src/fingerprint.ts
@@ -15,7 +15,7 @@
 const DIGITS = 32
 
 /** Computes a digest of the request that is the same in every process and does not reveal its content. */
-export function fingerprintOf ({ organisation, method, path, body }: RequestIdentity): string {
+export function computeFingerprint ({ organisation, method, path, body }: RequestIdentity): string {
   const hash = createHash('sha256')
   // Each part is preceded by its length, so that different divisions into parts give different digests.
   for (const part of [organisation ?? '', method, path]) hash.update(`${Buffer.byteLength(part)}:`).update(part)
--- a/routing/quarantine/test/blame.test.ts
+++ b/routing/quarantine/test/crash-causes.test.ts
@@ -1,10 +1,12 @@
 import { describe, expect, it } from 'vitest'
-import { blamed } from '../src/index.ts'
+import { findCrashCauses } from '../src/index.ts'
 
 /** Creates one crash for each text; each letter is a request that was running there. */
 const crashesOf = (...texts: string[]) => texts.map((text) => new Set(text))
 const NONE = new Set<string>()
-const findCauses = (crashes: Array<Set<string>>, { held = NONE, suspected = NONE } = {}) => blamed({ crashes, held, suspected })
+const findCauses = (
+  crashes: Array<Set<string>>, { held = NONE, suspected = NONE } = {}
+) => findCrashCauses({ crashes, quarantined: held, formerlyQuarantined: suspected })
 
 describe('among the requests that were running at crashed endpoints', () => {
   it('a request present at three crashes is quarantined, and requests present at one or two of them are not', () => {
--- a/routing/rates/src/rate-bound.ts
+++ b/routing/rates/src/rate-bound.ts
@@ -5,14 +5,14 @@
   requests: number
   windowMs: number
   /** The window is divided into this number of segments, and the requests are spread evenly over them. */
-  parts: number
+  segments: number
   /** The requests that one segment allows beyond its even share, since arrivals are uneven. */
-  extra: number
+  extraPerSegment: number
 }
 
 /** Returns the maximum number of requests within one segment of the window. */
-export function mostInPart ({ requests, parts, extra }: RateBound): number {
-  return Math.min(requests, Math.ceil(requests / parts) + extra)
+export function computeSegmentLimit ({ requests, segments, extraPerSegment }: RateBound): number {
+  return Math.min(requests, Math.ceil(requests / segments) + extraPerSegment)
 }
 
 /** The window in which an advertised limit applies, in ms. It is longer only if the limit is below one request per window. */
@@ -21,9 +21,9 @@
  * The lowest rate that is applied, in requests per second. An endpoint that advertises less still receives this many requests,
  * since only a response can lift its limit.
  */
-export const LEAST_PER_SECOND = 0.1
+export const MIN_REQUESTS_PER_SECOND = 0.1
 /** Limits above this rate, in requests per second, are ignored: no single endpoint receives that many requests. */
-export const MOST_COUNTED_PER_SECOND = 10_000
+export const MAX_METERED_REQUESTS_PER_SECOND = 10_000
 
 const MS_PER_SECOND = 1000
 const LIMIT_SEGMENTS = 4
@@ -34,9 +34,9 @@
  * match the rate.
  * @returns undefined if the limit is too high to be applied
  */
-export function boundOfRate (perSecond: number): RateBound | undefined {
-  if (perSecond > MOST_COUNTED_PER_SECOND) return undefined
-  const rate = Math.max(perSecond, LEAST_PER_SECOND)
+export function createRateBound (perSecond: number): RateBound | undefined {
+  if (perSecond > MAX_METERED_REQUESTS_PER_SECOND) return undefined
+  const rate = Math.max(perSecond, MIN_REQUESTS_PER_SECOND)
   const requests = Math.ceil(rate * LIMIT_WINDOW_MS / MS_PER_SECOND)
-  return { requests, windowMs: requests / rate * MS_PER_SECOND, parts: LIMIT_SEGMENTS, extra: LIMIT_EXTRA_PER_SEGMENT }
+  return { requests, windowMs: requests / rate * MS_PER_SECOND, segments: LIMIT_SEGMENTS, extraPerSegment: LIMIT_EXTRA_PER_SEGMENT }
 }
--- a/routing/rates/src/rate-meter.ts
+++ b/routing/rates/src/rate-meter.ts
@@ -1,5 +1,5 @@
 /** Applies an endpoint's advertised limit in a process that sends all of the endpoint's requests, so that the limit is not shared. */
-import { boundOfRate, type RateBound } from './rate-bound.ts'
+import { createRateBound, type RateBound } from './rate-bound.ts'
 import { SendLog } from './send-log.ts'
 
 /** The endpoint's clock may run faster than the local clock by this fraction. */
@@ -18,11 +18,11 @@
    * endpoint might receive no requests for a whole window.
    * @returns true if the limit changed
    */
-  limit (perSecond: number | undefined): boolean {
+  setLimit (perSecond: number | undefined): boolean {
     if (perSecond === this.perSecond) return false
     if (this.perSecond === undefined) this.log = new SendLog()
     this.perSecond = perSecond
-    const bound = perSecond === undefined ? undefined : boundOfRate(perSecond)
+    const bound = perSecond === undefined ? undefined : createRateBound(perSecond)
     this.bound = bound === undefined ? undefined : { ...bound, windowMs: bound.windowMs * (1 + CLOCK_MARGIN) }
     return true
   }
@@ -32,24 +32,24 @@
   }
 
   /** The number of requests that may be sent now; `Infinity` without a limit. */
-  free (now: number): number {
-    return this.bound === undefined ? Infinity : this.log.free(this.bound, now)
+  remaining (now: number): number {
+    return this.bound === undefined ? Infinity : this.log.remaining(this.bound, now)
   }
 
   /** The number of requests per window; `Infinity` without a limit. */
-  get most (): number {
+  get maxRequests (): number {
     return this.bound?.requests ?? Infinity
   }
 
   /** The time in ms until a request may be sent; 0 if one may be sent now. */
   waitMs (now: number): number {
-    return this.bound === undefined || this.free(now) > 0 ? 0 : this.log.untilFree(this.bound, now)
+    return this.bound === undefined || this.remaining(now) > 0 ? 0 : this.log.waitMs(this.bound, now)
   }
 
   /** Records a request that is sent now. */
-  note (now: number): void {
+  recordSent (now: number): void {
     if (this.bound === undefined) return
-    this.log.forgetBefore(now - Math.max(MIN_KEEP_MS, this.bound.windowMs))
+    this.log.dropBefore(now - Math.max(MIN_KEEP_MS, this.bound.windowMs))
     this.log.add(1, now)
   }
 }
--- a/routing/reservations/src/index.ts
+++ b/routing/reservations/src/index.ts
@@ -7,7 +7,7 @@
 import { type DemandRow } from '@gullwall/transport.messages'
 
 /** The entry and class to which a free slot is offered. */
-export interface Pick {
+export interface SlotAssignment {
   entry: string
   class: string
   tier: Tier
@@ -27,19 +27,19 @@
   private readonly virtualTimes = new Map<string, number>()
 
   /** Replaces the summary of an entry. */
-  update (entry: string, rows: DemandRow[]): void {
+  updateDemand (entry: string, rows: DemandRow[]): void {
     if (rows.length === 0) this.demands.delete(entry)
     else this.demands.set(entry, rows.map((row) => ({ ...row })))
   }
 
   /** Removes an entry whose link has closed. */
-  drop (entry: string): void {
+  removeEntry (entry: string): void {
     this.demands.delete(entry)
     this.virtualTimes.delete(entry)
   }
 
   /** Returns the highest tier that waits for an endpoint, or undefined if no request waits for it. */
-  highestTier (endpoint: string): Tier | undefined {
+  findHighestTier (endpoint: string): Tier | undefined {
     let highest: Tier | undefined
     for (const { row } of this.findWaiting(endpoint)) {
       if (highest === undefined || row.tier < highest) highest = row.tier
@@ -48,7 +48,7 @@
   }
 
   /** Assigns one free slot of an endpoint and subtracts one request from the chosen summary; undefined if no request waits for it. */
-  pick (endpoint: string): Pick | undefined {
+  assignSlot (endpoint: string): SlotAssignment | undefined {
     const waiting = [...this.findWaiting(endpoint)]
     if (waiting.length === 0) return undefined
     this.accrueCredits(waiting)
