--- a/endpoint/http/src/exchange.ts
+++ b/endpoint/http/src/exchange.ts
@@ -11,7 +11,7 @@
 /** Sends a request. Resolves when the response is complete, and rejects if the response fails or the signal aborts it. */
 export function exchange (
   pool: Pool, options: Dispatcher.DispatchOptions, receiver: ResponseReceiver, signal: AbortSignal,
-  onAnyHead: ResponseHeadListener = () => {}
+  onResponseHead: ResponseHeadListener = () => {}
 ): Promise<void> {
   let sentAt = performance.now()
   return new Promise((resolve, reject) => {
@@ -30,7 +30,7 @@
         if (signal.aborted) abort()
       },
       onResponseStart: (_controller, status, headers) => {
-        onAnyHead({ status, headers, sentAt })
+        onResponseHead({ status, headers, sentAt })
         if (status >= MIN_FINAL_STATUS) receiver.onHead(status, headers)
       },
       onResponseData: (started, chunk) => {
--- a/endpoint/http/src/index.ts
+++ b/endpoint/http/src/index.ts
@@ -42,9 +42,9 @@
 export class HttpEndpoint implements Endpoint {
   private readonly pool: Pool
 
-  /** @param onAnyHead listener for all response headers, including those of interim responses */
+  /** @param onResponseHead listener for all response headers, including those of interim responses */
   constructor (
-    private readonly name: string, private readonly address: string, private readonly onAnyHead: ResponseHeadListener = () => {}
+    private readonly name: string, private readonly address: string, private readonly onResponseHead: ResponseHeadListener = () => {}
   ) {
     this.pool = createPool(address)
   }
@@ -52,7 +52,7 @@
   async run (call: EndpointCall, receiver: ResponseReceiver): Promise<void> {
     const options = { method: call.method as Dispatcher.HttpMethod, path: call.path, headers: call.headers, body: call.body }
     try {
-      await exchange(this.pool, options, receiver, call.signal, this.onAnyHead)
+      await exchange(this.pool, options, receiver, call.signal, this.onResponseHead)
     } catch (cause) {
       const isUnsent = wasNotSent(cause)
       throw new GullwallError(isUnsent ? 'ERR_GULLWALL_ENDPOINT_REFUSED' : 'ERR_GULLWALL_ENDPOINT_FAILED',
@@ -73,7 +73,7 @@
   private async request (method: Dispatcher.HttpMethod, path: string): Promise<Dispatcher.ResponseData> {
     const sentAt = performance.now()
     const response = await this.pool.request({ method, path, headersTimeout: CONNECT_TIMEOUT_MS, bodyTimeout: CONNECT_TIMEOUT_MS })
-    this.onAnyHead({ status: response.statusCode, headers: response.headers, sentAt })
+    this.onResponseHead({ status: response.statusCode, headers: response.headers, sentAt })
     return response
   }
 
--- a/endpoint/notices/test/notices.test.ts
+++ b/endpoint/notices/test/notices.test.ts
@@ -60,19 +60,19 @@
 })
 
 describe('the advertised limit of a response', () => {
-  const limitOf = (value: string | string[], status = 200) => notices(status, { 'x-gullwall-limit': value })
+  const parseLimitHeader = (value: string | string[], status = 200) => notices(status, { 'x-gullwall-limit': value })
 
   it.each([['1', 1], ['0', 0], ['0.25', 0.25], ['.5', 0.5], ['12.', 12], [' 3 ', 3], ['100000000', 1e8]])('is a decimal number: %j', (text, perSecond) => {
-    expect(limitOf(text).limit).toEqual({ perSecond })
+    expect(parseLimitHeader(text).limit).toEqual({ perSecond })
   })
 
   it('is the smallest of several values in one header line or in several', () => {
-    expect(limitOf('5, 2').limit).toEqual({ perSecond: 2 })
-    expect(limitOf(['5', '2', 'soon']).limit).toEqual({ perSecond: 2 })
+    expect(parseLimitHeader('5, 2').limit).toEqual({ perSecond: 2 })
+    expect(parseLimitHeader(['5', '2', 'soon']).limit).toEqual({ perSecond: 2 })
   })
 
   it.each(['-1', 'many', '', '1e3', '0x10', 'NaN', 'Infinity', '1 000', '9'.repeat(400)])('is unchanged by the invalid value %j', (text) => {
-    const { limit, unreadable } = limitOf(text)
+    const { limit, unreadable } = parseLimitHeader(text)
     expect(limit).toBeUndefined()
     expect(unreadable).toBe(text.slice(0, 60))
   })
@@ -81,6 +81,6 @@
     expect(notices(200, {}).limit).toEqual({ perSecond: undefined })
     expect(notices(503, {}).limit).toEqual({ perSecond: undefined })
     expect(notices(103, {}).limit).toBeUndefined()
-    expect(limitOf('2', 103).limit).toEqual({ perSecond: 2 })
+    expect(parseLimitHeader('2', 103).limit).toEqual({ perSecond: 2 })
   })
 })
--- a/endpoint/openai/src/engine.ts
+++ b/endpoint/openai/src/engine.ts
@@ -10,9 +10,9 @@
 export class OpenAiEngine implements Endpoint {
   private readonly http: HttpEndpoint
 
-  /** @param onAnyHead listener for all response headers, including those of interim responses */
-  constructor (name: string, address: string, onAnyHead?: ResponseHeadListener) {
-    this.http = new HttpEndpoint(name, address, onAnyHead)
+  /** @param onResponseHead listener for all response headers, including those of interim responses */
+  constructor (name: string, address: string, onResponseHead?: ResponseHeadListener) {
+    this.http = new HttpEndpoint(name, address, onResponseHead)
   }
 
   run (call: EndpointCall, receiver: ResponseReceiver): Promise<void> {
--- a/routing/backoff/src/backoff-table.ts
+++ b/routing/backoff/src/backoff-table.ts
@@ -10,9 +10,9 @@
 export type BackoffTransition = { event: 'began', ms: number } | { event: 'ended' }
 
 /** Creates the log record of a transition. */
-export function createTransitionRecord (endpoint: string, turn: BackoffTransition): EndpointRecord {
-  return turn.event === 'began'
-    ? { channel: 'endpoint', event: 'backs-off', endpoint, why: `backoff of ${Math.round(turn.ms)} ms requested` }
+export function createTransitionRecord (endpoint: string, transition: BackoffTransition): EndpointRecord {
+  return transition.event === 'began'
+    ? { channel: 'endpoint', event: 'backs-off', endpoint, why: `backoff of ${Math.round(transition.ms)} ms requested` }
     : { channel: 'endpoint', event: 'back', endpoint, why: 'backoff ended; slow start begins' }
 }
 
@@ -20,7 +20,7 @@
   /** Called when an endpoint may accept more requests, so that waiting requests check again. */
   onPermitsAvailable: () => void
   /** Called when the backoff of an endpoint begins or ends. */
-  onTransition?: (endpoint: string, turn: BackoffTransition) => void
+  onTransition?: (endpoint: string, transition: BackoffTransition) => void
   now?: () => number
 }
 
--- a/routing/backoff/test/backoff-table.test.ts
+++ b/routing/backoff/test/backoff-table.test.ts
@@ -37,18 +37,18 @@
     table.recordBackoff('a', 3000)
     table.recordBackoff('a', 1000)
     vi.advanceTimersByTime(2900)
-    expect({ left: table.remainingMs('a'), room: table.availablePermits('a'), permit: table.acquire('a') }).toEqual({ left: 100, room: 0, permit: undefined })
+    expect({ remainingMs: table.remainingMs('a'), available: table.availablePermits('a'), permit: table.acquire('a') }).toEqual({ remainingMs: 100, available: 0, permit: undefined })
     expect(table.findBlockReason('a')).toBe('a requested a backoff; 0.1 s remain')
-    expect({ room: table.availablePermits('b'), permit: table.acquire('b') }).toEqual({ room: Infinity, permit: UNRESTRICTED_PERMIT })
+    expect({ available: table.availablePermits('b'), permit: table.acquire('b') }).toEqual({ available: Infinity, permit: UNRESTRICTED_PERMIT })
     vi.advanceTimersByTime(110)
-    expect({ left: table.remainingMs('a'), room: table.availablePermits('a') }).toEqual({ left: 0, room: 1 })
+    expect({ remainingMs: table.remainingMs('a'), available: table.availablePermits('a') }).toEqual({ remainingMs: 0, available: 1 })
     expect(transitions).toEqual([{ endpoint: 'a', event: 'began' }, { endpoint: 'a', event: 'ended' }])
     expect(availabilityCalls).toBe(1)
   })
 
   it('is not limited by a backoff of 0 s', () => {
     table.recordBackoff('a', 0)
-    expect({ size: table.size, room: table.availablePermits('a') }).toEqual({ size: 0, room: Infinity })
+    expect({ size: table.size, available: table.availablePermits('a') }).toEqual({ size: 0, available: Infinity })
   })
 
   it('may receive 1, 2, 4 and 8 requests at a time during the slow start, and any number afterwards', () => {
@@ -114,7 +114,7 @@
 
   it('grants no permit during a backoff, and unrestricted permits again some time after it', () => {
     const step = fc.oneof(
-      fc.record({ type: fc.constant('note' as const), ms: fc.integer({ min: 0, max: 4000 }) }),
+      fc.record({ type: fc.constant('request' as const), ms: fc.integer({ min: 0, max: 4000 }) }),
       fc.record({ type: fc.constant('wait' as const), ms: fc.integer({ min: 0, max: 3000 }) }),
       fc.record({ type: fc.constant('acquire' as const), isAnswered: fc.boolean(), isReleased: fc.boolean() })
     )
@@ -123,7 +123,7 @@
       let until = 0
       const pendingReleases: Array<() => void> = []
       for (const next of steps) {
-        if (next.type === 'note') {
+        if (next.type === 'request') {
           table.recordBackoff('a', next.ms)
           if (next.ms > 0) until = Math.max(until, performance.now() + next.ms)
         } else if (next.type === 'wait') {
--- a/routing/dispatcher/test/dispatcher.fuzz.test.ts
+++ b/routing/dispatcher/test/dispatcher.fuzz.test.ts
@@ -3,12 +3,12 @@
 import { FairQueue } from '@gullwall/routing.fair-queue'
 import { ReservationBook } from '@gullwall/routing.reservations'
 import { EndpointSlots } from '@gullwall/sidecar.slots'
-import { World, type WorldClass } from './simulation.ts'
+import { Simulation, type SimulatedClass } from './simulation.ts'
 
 const RUNS = Number(process.env['FUZZ_RUNS'] ?? 60)
 const SEED = Number(process.env['FUZZ_SEED'] ?? 20261202)
 
-const CLASSES: WorldClass[] = [
+const CLASSES: SimulatedClass[] = [
   { name: 'interactive', tier: 0, floor: 0.02 },
   { name: 'standard', tier: 1, floor: 0.05 },
   { name: 'batch', tier: 2, floor: 0.1 }
@@ -41,25 +41,25 @@
 const LIMIT = 2
 
 async function runSteps (steps: readonly Step[], seed: number, mutate?: () => void): Promise<string | undefined> {
-  const world: World = new World({ seed, entries: 3, endpoints: 2, limit: LIMIT, maxQueued: 12, classes: CLASSES })
+  const simulation: Simulation = new Simulation({ seed, entries: 3, endpoints: 2, limit: LIMIT, maxQueued: 12, classes: CLASSES })
   try {
     mutate?.()
     for (const next of steps) {
-      if (next.do === 'advance') await world.advance(next.ms)
-      else if (next.do === 'reconnect') world.reconnect(next.entry, next.sidecar)
-      else for (let time = 0; time < next.times; time++) world.send(next.entry, CLASSES[next.class]?.name ?? '', `o${next.organisation}`, next.runMs)
+      if (next.do === 'advance') await simulation.advance(next.ms)
+      else if (next.do === 'reconnect') simulation.reconnect(next.entry, next.sidecar)
+      else for (let time = 0; time < next.times; time++) simulation.send(next.entry, CLASSES[next.class]?.name ?? '', `o${next.organisation}`, next.runMs)
     }
-    const findStuck = () => world.fates.find(({ state }) => state === 'waiting' || state === 'running')
-    for (let waited = 0; findStuck() !== undefined && waited < SETTLE_MS; waited += SETTLE_STEP_MS) await world.advance(SETTLE_STEP_MS)
+    const findStuck = () => simulation.requests.find(({ state }) => state === 'waiting' || state === 'running')
+    for (let waited = 0; findStuck() !== undefined && waited < SETTLE_MS; waited += SETTLE_STEP_MS) await simulation.advance(SETTLE_STEP_MS)
     const stuck = findStuck()
-    if (stuck !== undefined) world.violations.push(`${stuck.request.class} ${stuck.request.id} is still ${stuck.state}`)
-    await world.advance(SETTLE_STEP_MS)
-    for (const { name, slots } of world.sidecars) {
-      if (slots.spare !== LIMIT) world.violations.push(`${name} has ${slots.spare} of ${LIMIT} slots free although no request is left`)
+    if (stuck !== undefined) simulation.violations.push(`${stuck.request.class} ${stuck.request.id} is still ${stuck.state}`)
+    await simulation.advance(SETTLE_STEP_MS)
+    for (const { name, slots } of simulation.sidecars) {
+      if (slots.spare !== LIMIT) simulation.violations.push(`${name} has ${slots.spare} of ${LIMIT} slots free although no request is left`)
     }
-    return world.violations[0]
+    return simulation.violations[0]
   } finally {
-    world.stop()
+    simulation.stop()
   }
 }
 
@@ -79,41 +79,41 @@
   }, 3_600_000)
 
   it('serve every class at its floor under a constant load of higher tiers', async () => {
-    const world = new World({ seed: 5, entries: 2, endpoints: 1, limit: 2, maxQueued: 500, classes: CLASSES })
+    const simulation = new Simulation({ seed: 5, entries: 2, endpoints: 1, limit: 2, maxQueued: 500, classes: CLASSES })
     try {
-      for (let index = 0; index < 60; index++) world.send(index, 'batch', 'o1', 20)
+      for (let index = 0; index < 60; index++) simulation.send(index, 'batch', 'o1', 20)
       for (let tick = 0; tick < 400; tick++) {
-        world.send(tick, 'interactive', 'o2', 20)
-        await world.advance(10)
+        simulation.send(tick, 'interactive', 'o2', 20)
+        await simulation.advance(10)
       }
-      const grants = world.started.length
-      const batch = world.started.filter((fate) => fate.request.class === 'batch').length
+      const grants = simulation.started.length
+      const batch = simulation.started.filter((tracked) => tracked.request.class === 'batch').length
       expect(batch / grants).toBeGreaterThanOrEqual(0.09)
-      expect(world.violations).toEqual([])
+      expect(simulation.violations).toEqual([])
     } finally {
-      world.stop()
+      simulation.stop()
     }
   })
 
   it('serve a higher tier at one entry before a lower tier that has waited longer at another entry', async () => {
-    const classesWithoutFloor = CLASSES.map((known) => ({ ...known, floor: 0 }))
-    const world = new World({ seed: 6, entries: 3, endpoints: 1, limit: 1, maxQueued: 500, classes: classesWithoutFloor })
+    const classesWithoutFloor = CLASSES.map((requestClass) => ({ ...requestClass, floor: 0 }))
+    const simulation = new Simulation({ seed: 6, entries: 3, endpoints: 1, limit: 1, maxQueued: 500, classes: classesWithoutFloor })
     try {
-      world.send(0, 'interactive', 'o1', 300)
-      await world.advance(20)
-      for (let index = 0; index < 5; index++) world.send(1, 'batch', 'o2', 50)
-      await world.advance(100)
-      for (let index = 0; index < 3; index++) world.send(2, 'interactive', 'o3', 50)
-      await world.advance(5000)
-      expect(world.started.slice(1, 4).map((fate) => fate.request.class)).toEqual(['interactive', 'interactive', 'interactive'])
+      simulation.send(0, 'interactive', 'o1', 300)
+      await simulation.advance(20)
+      for (let index = 0; index < 5; index++) simulation.send(1, 'batch', 'o2', 50)
+      await simulation.advance(100)
+      for (let index = 0; index < 3; index++) simulation.send(2, 'interactive', 'o3', 50)
+      await simulation.advance(5000)
+      expect(simulation.started.slice(1, 4).map((tracked) => tracked.request.class)).toEqual(['interactive', 'interactive', 'interactive'])
     } finally {
-      world.stop()
+      simulation.stop()
     }
   })
 })
 
 /** A type through which mutations replace private members. */
-type Open = Record<string, (...args: never[]) => unknown>
+type PrivateMembers = Record<string, (...args: never[]) => unknown>
 
 const MUTATIONS: Record<string, () => void> = {
   'the highest tier is shed first': () => {
@@ -124,7 +124,7 @@
     })
   },
   'a request may take a slot that is offered to another one': () => {
-    vi.spyOn(EndpointSlots.prototype as unknown as Open, 'mayGoAhead').mockImplementation(function (this: EndpointSlots) {
+    vi.spyOn(EndpointSlots.prototype as unknown as PrivateMembers, 'mayGoAhead').mockImplementation(function (this: EndpointSlots) {
       return this.inFlight < LIMIT
     })
   },
@@ -132,7 +132,7 @@
     vi.spyOn(EndpointSlots.prototype, 'spare', 'get').mockReturnValue(1)
   },
   'any stream is preempted': () => {
-    vi.spyOn(EndpointSlots.prototype as unknown as Open, 'victimBelow').mockImplementation(function (this: EndpointSlots) {
+    vi.spyOn(EndpointSlots.prototype as unknown as PrivateMembers, 'victimBelow').mockImplementation(function (this: EndpointSlots) {
       return [...(this as unknown as { running: Map<string, unknown> }).running.values()][0]
     })
   },
--- a/routing/dispatcher/test/simulation.ts
+++ b/routing/dispatcher/test/simulation.ts
@@ -11,14 +11,14 @@
 import { ReservationBook } from '@gullwall/routing.reservations'
 import { EndpointSlots } from '@gullwall/sidecar.slots'
 
-export interface WorldClass {
+export interface SimulatedClass {
   name: string
   tier: number
   floor: number
 }
 
 /** The progress of one request. */
-export interface Fate {
+export interface TrackedRequest {
   request: RoutedRequest
   state: 'waiting' | 'running' | 'done' | 'refused'
   runs: number
@@ -36,33 +36,33 @@
   name: string
   book: ReservationBook
   slots: EndpointSlots
-  running: Map<string, { fate: Fate, end: (preempted: boolean) => void }>
+  running: Map<string, { tracked: TrackedRequest, end: (preempted: boolean) => void }>
 }
 
-export interface WorldOptions {
+export interface SimulationOptions {
   seed: number
   entries: number
   endpoints: number
   limit: number
   maxQueued: number
-  classes: WorldClass[]
+  classes: SimulatedClass[]
 }
 
 const MODEL = 'parts'
 const MAX_DELAY_MS = 4
 const REPORT_MS = 50
 
-export class World {
-  readonly fates: Fate[] = []
+export class Simulation {
+  readonly requests: TrackedRequest[] = []
   readonly violations: string[] = []
   /** The requests that started on a slot, in order. */
-  readonly started: Fate[] = []
+  readonly started: TrackedRequest[] = []
   readonly sidecars: Sidecar[] = []
   private readonly entries: Entry[] = []
   private readonly random: () => number
   private attempts = 0
 
-  constructor (private readonly options: WorldOptions) {
+  constructor (private readonly options: SimulationOptions) {
     const generator = xoroshiro128plus(options.seed)
     this.random = () => uniformFloat64(generator)
     vi.useFakeTimers({ toFake: ['setTimeout', 'clearTimeout', 'setInterval', 'clearInterval', 'performance'] })
@@ -83,11 +83,11 @@
   }
 
   /** Submits a request to an entry. The request runs for `runMs` once it has a slot. */
-  send (entryIndex: number, className: string, organisation: string, runMs: number): Fate {
+  send (entryIndex: number, className: string, organisation: string, runMs: number): TrackedRequest {
     const entry = this.entries[entryIndex % this.entries.length] as Entry
-    const requestClass = this.options.classes.find(({ name }) => name === className) as WorldClass
+    const requestClass = this.options.classes.find(({ name }) => name === className) as SimulatedClass
     const request: RoutedRequest = {
-      id: `r${this.fates.length}`,
+      id: `r${this.requests.length}`,
       group: className,
       class: className,
       tier: requestClass.tier,
@@ -103,10 +103,10 @@
       selectors: [],
       avoidedEndpoints: new Set()
     }
-    const fate: Fate = { request, state: 'waiting', runs: 0, preemptedBy: [], startedAt: 0 }
-    this.fates.push(fate)
-    void this.serve(entry, fate, runMs, false)
-    return fate
+    const tracked: TrackedRequest = { request, state: 'waiting', runs: 0, preemptedBy: [], startedAt: 0 }
+    this.requests.push(tracked)
+    void this.serve(entry, tracked, runMs, false)
+    return tracked
   }
 
   /** Closes an entry's link to a sidecar and opens it again. */
@@ -119,32 +119,32 @@
     this.link(entry, sidecar)
   }
 
-  private async serve (entry: Entry, fate: Fate, runMs: number, front: boolean): Promise<void> {
-    const submitted = entry.dispatcher.submit(fate.request, { atFront: front })
+  private async serve (entry: Entry, tracked: TrackedRequest, runMs: number, atFront: boolean): Promise<void> {
+    const submitted = entry.dispatcher.submit(tracked.request, { atFront })
     const result = await submitted
     result.caseOf({
       Left: (refusal) => {
-        fate.state = 'refused'
-        if (refusal.reason === 'queue-full') this.checkShedding(entry, fate)
+        tracked.state = 'refused'
+        if (refusal.reason === 'queue-full') this.checkShedding(entry, tracked)
       },
-      Right: (grant) => this.attempt(entry, fate, grant, runMs)
+      Right: (grant) => this.attempt(entry, tracked, grant, runMs)
     })
   }
 
   /** Records a violation if a request was shed while one of a lower tier waited at the same entry. */
-  private checkShedding (entry: Entry, fate: Fate): void {
+  private checkShedding (entry: Entry, tracked: TrackedRequest): void {
     const lower = [...entry.dispatcher.countQueuedByClass().keys()].filter((name) => {
-      return (this.options.classes.find((known) => known.name === name)?.tier ?? 0) > fate.request.tier
+      return (this.options.classes.find((requestClass) => requestClass.name === name)?.tier ?? 0) > tracked.request.tier
     })
-    if (lower.length > 0) this.violations.push(`${fate.request.class} was shed while ${lower.join()} was waiting`)
+    if (lower.length > 0) this.violations.push(`${tracked.request.class} was shed while ${lower.join()} was waiting`)
   }
 
-  private attempt (entry: Entry, fate: Fate, grant: Grant, runMs: number): void {
+  private attempt (entry: Entry, tracked: TrackedRequest, grant: Grant, runMs: number): void {
     const sidecar = this.sidecars.find(({ name }) => name === grant.sidecar.name) as Sidecar
     this.attempts += 1
     const attemptId = `a${this.attempts}`
     this.delay(() => {
-      const { tier } = fate.request
+      const { tier } = tracked.request
       const waiting = sidecar.book.findHighestTier(sidecar.name)
       const admitted = sidecar.slots.admit({ attemptId, entry: entry.name, offerId: grant.offerId, tier, preemptible: true }, () => {
         sidecar.running.get(attemptId)?.end(true)
@@ -153,34 +153,34 @@
         this.delay(() => {
           entry.dispatcher.completeGrant(grant, true)
           entry.dispatcher.recordBusy(grant.endpoint)
-          void this.serve(entry, fate, runMs, true)
+          void this.serve(entry, tracked, runMs, true)
         })
         return
       }
       if (grant.offerId === undefined && waiting !== undefined && waiting <= tier) this.violations.push('a request took a slot ahead of a waiting request of its tier or higher')
-      this.run(entry, sidecar, fate, grant, attemptId, runMs)
+      this.run(entry, sidecar, tracked, grant, attemptId, runMs)
     })
   }
 
-  private run (entry: Entry, sidecar: Sidecar, fate: Fate, grant: Grant, attemptId: string, runMs: number): void {
-    fate.state = 'running'
-    fate.runs += 1
-    fate.startedAt = performance.now()
-    this.started.push(fate)
+  private run (entry: Entry, sidecar: Sidecar, tracked: TrackedRequest, grant: Grant, attemptId: string, runMs: number): void {
+    tracked.state = 'running'
+    tracked.runs += 1
+    tracked.startedAt = performance.now()
+    this.started.push(tracked)
     if (sidecar.slots.inFlight > this.options.limit) this.violations.push('more requests were in flight than the limit allows')
     const timer = setTimeout(() => end(false), runMs)
     const end = (preempted: boolean) => {
       clearTimeout(timer)
       sidecar.running.delete(attemptId)
-      const remainingMs = runMs - (performance.now() - fate.startedAt)
-      fate.state = preempted ? 'waiting' : 'done'
+      const remainingMs = runMs - (performance.now() - tracked.startedAt)
+      tracked.state = preempted ? 'waiting' : 'done'
       queueMicrotask(() => sidecar.slots.release(attemptId))
       this.delay(() => {
         entry.dispatcher.completeGrant(grant, true)
-        if (preempted) void this.serve(entry, fate, remainingMs, true)
+        if (preempted) void this.serve(entry, tracked, remainingMs, true)
       })
     }
-    sidecar.running.set(attemptId, { fate, end })
+    sidecar.running.set(attemptId, { tracked, end })
   }
 
   private createEntry (name: string): Entry {
@@ -246,12 +246,12 @@
   }
 
   private preempt (sidecar: Sidecar, entryName: string, className: string, tier: number): void {
-    const before = new Map([...sidecar.running].map(([id, { fate }]) => [id, fate]))
+    const before = new Map([...sidecar.running].map(([id, { tracked }]) => [id, tracked]))
     sidecar.slots.preempt(entryName, className, tier)
-    for (const [id, fate] of before) {
+    for (const [id, tracked] of before) {
       if (sidecar.running.has(id)) continue
-      fate.preemptedBy.push(tier)
-      if (fate.request.tier <= tier) this.violations.push(`tier ${fate.request.tier} was preempted for tier ${tier}`)
+      tracked.preemptedBy.push(tier)
+      if (tracked.request.tier <= tier) this.violations.push(`tier ${tracked.request.tier} was preempted for tier ${tier}`)
     }
   }
 
--- a/routing/fair-queue/src/index.ts
+++ b/routing/fair-queue/src/index.ts
@@ -53,7 +53,7 @@
     return this.total - this.resumedTotal
   }
 
-  /** Adds a request. With `front` it ran in part and is queued ahead of its organisation's other requests. */
+  /** Adds a request. With `atFront` it ran in part and is queued ahead of its organisation's other requests. */
   push (item: Item, options: { atFront?: boolean } = {}): void {
     const group = this.getOrCreateGroup(item)
     const lane = group.getOrCreateLane(item.organisation)
@@ -149,10 +149,10 @@
     let lowest: Group<Item> | undefined
     for (const group of this.groups.values()) {
       const isLower = lowest === undefined || group.tier > lowest.tier
-      const isLarger = group.tier === lowest?.tier && group.freshSize > lowest.freshSize
+      const isLarger = group.tier === lowest?.tier && group.unstartedSize > lowest.unstartedSize
       if (isLower || isLarger) lowest = group
     }
-    return lowest?.victim()
+    return lowest?.findVictim()
   }
 
   private getOrCreateGroup (item: Item): Group<Item> {
@@ -243,13 +243,13 @@
     return oldest
   }
 
-  get freshSize (): number {
+  get unstartedSize (): number {
     let size = 0
     for (const lane of this.lanes.values()) size += lane.unstarted.size
     return size
   }
 
-  victim (): Victim<Item> | undefined {
+  findVictim (): Victim<Item> | undefined {
     let longest: Lane<Item> | undefined
     for (const lane of this.lanes.values()) {
       if (longest === undefined || lane.unstarted.size > longest.unstarted.size) longest = lane
--- a/routing/quarantine/test/crash-evidence.fuzz.test.ts
+++ b/routing/quarantine/test/crash-evidence.fuzz.test.ts
@@ -10,7 +10,7 @@
   requests: fc.array(fc.constantFrom('a', 'b', 'c', 'd', 'P'), { maxLength: 4 })
 })
 
-function evidenceOf (crashes: readonly Crash[]): CrashEvidence {
+function createEvidence (crashes: readonly Crash[]): CrashEvidence {
   const evidence = new CrashEvidence()
   evidence.recordCrashes(crashes)
   return evidence
@@ -22,8 +22,8 @@
   it('quarantines the same requests in whatever order and however often the same crashes are reported', () => {
     fc.assert(fc.property(fc.array(crash, { maxLength: 12 }), fc.array(fc.nat(), { maxLength: 12 }), (crashes, keys) => {
       const shuffled = crashes.map((item, index) => ({ item, key: keys[index] ?? 0 })).sort((left, right) => left.key - right.key)
-      const once = evidenceOf(crashes).evaluate().held.sort()
-      expect(evidenceOf([...shuffled.map(({ item }) => item), ...crashes]).evaluate().held.sort()).toEqual(once)
+      const once = createEvidence(crashes).evaluate().held.sort()
+      expect(createEvidence([...shuffled.map(({ item }) => item), ...crashes]).evaluate().held.sort()).toEqual(once)
     }), { numRuns: RUNS, seed: SEED })
   })
 
@@ -33,14 +33,14 @@
       const counts = new Map<string, number>()
       for (const name of runs.flat()) counts.set(name, (counts.get(name) ?? 0) + 1)
       fc.pre(Math.max(0, ...counts.values()) < runs.length)
-      const { held } = evidenceOf(runs.map((requests, index) => ({ endpoint: `i-${index}`, requests: [...requests, 'P'] }))).evaluate()
+      const { held } = createEvidence(runs.map((requests, index) => ({ endpoint: `i-${index}`, requests: [...requests, 'P'] }))).evaluate()
       expect(held).toEqual(['P'])
     }), { numRuns: RUNS, seed: SEED })
   })
 
   it('decides the same after it is restored from a snapshot', () => {
     fc.assert(fc.property(fc.array(crash, { maxLength: 12 }), fc.array(crash, { maxLength: 6 }), (before, after) => {
-      const first = evidenceOf(before)
+      const first = createEvidence(before)
       first.evaluate()
       first.releaseRequests([...first.quarantined].slice(0, 1))
       const second = new CrashEvidence()
@@ -77,7 +77,7 @@
   })
 
   it('no longer contains a request that completed without a crash, even if it was quarantined', () => {
-    const evidence = evidenceOf(['i-1', 'i-2', 'i-3'].map((endpoint) => ({ endpoint, requests: ['a'] })))
+    const evidence = createEvidence(['i-1', 'i-2', 'i-3'].map((endpoint) => ({ endpoint, requests: ['a'] })))
     evidence.evaluate()
     expect(evidence.clearRequests(['a', 'b'])).toEqual(['a'])
     expect(evidence.evaluate().held).toEqual([])
@@ -85,7 +85,7 @@
   })
 
   it('quarantines a released request again with the next crash', () => {
-    const evidence = evidenceOf(['i-1', 'i-2', 'i-3'].map((endpoint) => ({ endpoint, requests: ['a'] })))
+    const evidence = createEvidence(['i-1', 'i-2', 'i-3'].map((endpoint) => ({ endpoint, requests: ['a'] })))
     evidence.evaluate()
     expect(evidence.releaseRequests(['a'])).toEqual(['a'])
     expect(evidence.evaluate().held).toEqual([])
