--- a/endpoint/crashes/test/crash-detector.test.ts
+++ b/endpoint/crashes/test/crash-detector.test.ts
@@ -17,7 +17,7 @@
   let probeResult: ProbeResult
   let probes: number
   let reported: Array<{ endpoint: string, requests: InterruptedRequest[] }>
-  let watch: CrashDetector
+  let detector: CrashDetector
 
   beforeEach(() => {
     now = 1000
@@ -26,7 +26,7 @@
     probeResult = 'refused'
     probes = 0
     reported = []
-    watch = new CrashDetector({
+    detector = new CrashDetector({
       getLeaseState: () => state,
       isReplaced: () => isReplaced,
       onCrash: (endpoint, requests) => reported.push({ endpoint, requests }),
@@ -39,11 +39,11 @@
   })
 
   it('has crashed if its address refuses connections, and all requests running there are reported, also later ones', async () => {
-    watch.recordBrokenConnection(ENGINE, FIRST)
-    watch.recordBrokenConnection(ENGINE, SECOND)
+    detector.recordBrokenConnection(ENGINE, FIRST)
+    detector.recordBrokenConnection(ENGINE, SECOND)
     await probesHandled()
     expect(reported).toEqual([{ endpoint: 'i-1', requests: [FIRST, SECOND] }])
-    watch.recordBrokenConnection(ENGINE, { requestId: 'r3', fingerprint: 'f3' })
+    detector.recordBrokenConnection(ENGINE, { requestId: 'r3', fingerprint: 'f3' })
     expect(reported.at(-1)?.requests).toEqual([{ requestId: 'r3', fingerprint: 'f3' }])
     expect(probes).toBe(1)
   })
@@ -57,59 +57,59 @@
   ])('has not crashed if %s', async (_condition, change) => {
     state = change.state ?? 'ready'
     probeResult = change.probeResult ?? 'refused'
-    watch.recordBrokenConnection({ ...ENGINE, silentMs: change.silentMs ?? 0 }, FIRST)
+    detector.recordBrokenConnection({ ...ENGINE, silentMs: change.silentMs ?? 0 }, FIRST)
     await probesHandled()
-    for (let check = 0; check < 50; check += 1) {
+    for (let index = 0; index < 50; index += 1) {
       now += 100
-      watch.check()
+      detector.check()
     }
     expect(reported).toEqual([])
-    expect(watch.size).toBe(0)
+    expect(detector.size).toBe(0)
   })
 
   it('has crashed if its next incarnation is known, although the address accepts connections again', async () => {
     probeResult = 'open'
-    watch.recordBrokenConnection(ENGINE, FIRST)
+    detector.recordBrokenConnection(ENGINE, FIRST)
     await probesHandled()
-    watch.check()
+    detector.check()
     expect(reported).toEqual([])
     isReplaced = true
-    watch.check()
+    detector.check()
     expect(reported).toEqual([{ endpoint: 'i-1', requests: [FIRST] }])
   })
 
   it('has crashed if a later request finds that no process is listening', async () => {
     probeResult = 'open'
-    watch.recordBrokenConnection(ENGINE, FIRST)
+    detector.recordBrokenConnection(ENGINE, FIRST)
     await probesHandled()
-    watch.recordProcessEnd('i-1')
+    detector.recordProcessEnd('i-1')
     expect(reported.length).toBe(1)
   })
 
   it('has not crashed if it reports that it is leaving shortly after its connections closed', async () => {
     probeResult = 'open'
-    watch.recordBrokenConnection(ENGINE, FIRST)
+    detector.recordBrokenConnection(ENGINE, FIRST)
     await probesHandled()
     state = 'gone'
-    watch.recordProcessEnd('i-1')
+    detector.recordProcessEnd('i-1')
     expect(reported).toEqual([])
   })
 
   it('remains crashed if the probe of its address times out after the crash was detected', async () => {
     probeResult = 'silent'
-    watch.recordBrokenConnection(ENGINE, FIRST)
-    watch.recordProcessEnd('i-1')
+    detector.recordBrokenConnection(ENGINE, FIRST)
+    detector.recordProcessEnd('i-1')
     await probesHandled()
-    watch.recordBrokenConnection(ENGINE, SECOND)
+    detector.recordBrokenConnection(ENGINE, SECOND)
     expect(reported.map(({ requests }) => requests)).toEqual([[FIRST], [SECOND]])
   })
 
   it('is no longer watched some seconds after a crash', async () => {
-    watch.recordBrokenConnection(ENGINE, FIRST)
+    detector.recordBrokenConnection(ENGINE, FIRST)
     await probesHandled()
     now += 11_000
-    watch.check()
-    expect(watch.size).toBe(0)
+    detector.check()
+    expect(detector.size).toBe(0)
   })
 })
 
--- a/endpoint/notices/src/notices.ts
+++ b/endpoint/notices/src/notices.ts
@@ -36,7 +36,7 @@
 const BACKOFF_STATUSES: ReadonlySet<number> = new Set([429, 503])
 /** The lowest status of a final response; lower ones are interim responses. */
 const MIN_FINAL_STATUS = 200
-/** The number of characters of invalid values that are kept. */
+/** The maximum number of characters of invalid values that are kept. */
 const MAX_UNREADABLE_LENGTH = 60
 /** The values of the draining header that mean false, in lower case. */
 const FALSE_VALUES: ReadonlySet<string> = new Set(['', '0', 'false', 'no'])
--- a/endpoint/notices/src/retry-after.ts
+++ b/endpoint/notices/src/retry-after.ts
@@ -1,7 +1,7 @@
 /** Parses the `Retry-After` header (RFC 9110, section 10.2.3), which contains seconds or a date. */
 
 const MS_PER_SECOND = 1000
-/** Longer times are reduced to this one, in ms: they are probably meant in another unit, and endpoints can repeat the request. */
+/** Longer times are reduced to this one, in ms: they are probably in another unit, and an endpoint can request a further backoff. */
 export const MAX_BACKOFF_MS = 24 * 60 * 60 * MS_PER_SECOND
 
 /** The standard has whole seconds, but some endpoints send fractions. */
--- a/endpoint/notices/test/notices.test.ts
+++ b/endpoint/notices/test/notices.test.ts
@@ -3,7 +3,7 @@
 import { MAX_BACKOFF_MS, parseNotices, parseRetryAfter } from '../src/index.ts'
 
 const NOW = Date.parse('Thu, 03 Dec 2026 10:00:00 GMT')
-const read = (text: string, date?: string) => parseRetryAfter(text, { date, now: NOW })
+const parse = (text: string, date?: string) => parseRetryAfter(text, { date, now: NOW })
 const notices = (status: number, headers: Record<string, string | string[]>) => (
   parseNotices({ status, headers, drainingHeader: 'x-leaving', now: NOW })
 )
@@ -11,7 +11,7 @@
 describe('the time in Retry-After', () => {
   it.each([
     ['3', 3000], ['0', 0], ['0.25', 250], ['.5', 500], [' 7 ', 7000], ['3.', 3000], ['7200', 7_200_000], ['99999999999', MAX_BACKOFF_MS]
-  ])('is parsed from the seconds %j', (text, ms) => expect(read(text)).toBe(ms))
+  ])('is parsed from the seconds %j', (text, ms) => expect(parse(text)).toBe(ms))
 
   it.each([
     ['Thu, 03 Dec 2026 10:00:04 GMT', 4000],
@@ -19,20 +19,20 @@
     ['Thu Dec  3 10:00:04 2026', 4000],
     ['Thu, 03 Dec 2026 09:00:00 GMT', 0],
     ['Fri, 03 Dec 2027 10:00:00 GMT', MAX_BACKOFF_MS]
-  ])('is parsed from the date %j', (text, ms) => expect(read(text)).toBe(ms))
+  ])('is parsed from the date %j', (text, ms) => expect(parse(text)).toBe(ms))
 
   it('is relative to the Date header of the response', () => {
-    expect(read('Thu, 03 Dec 2026 09:00:05 GMT', 'Thu, 03 Dec 2026 09:00:00 GMT')).toBe(5000)
+    expect(parse('Thu, 03 Dec 2026 09:00:05 GMT', 'Thu, 03 Dec 2026 09:00:00 GMT')).toBe(5000)
   })
 
   it.each(['', 'soon', '-1', '+3', '3s', '1e3', 'Infinity', 'NaN', '3,5', '0x10', 'Thu, no date 99:99:99 GMT', '2026-12-03T10:00:04Z'])(
-    'is undefined for %j', (text) => expect(read(text)).toBeUndefined()
+    'is undefined for %j', (text) => expect(parse(text)).toBeUndefined()
   )
 
   it('is a bounded number of ms or undefined for any text', () => {
     const dates = fc.date({ noInvalidDate: true }).map((date) => date.toUTCString())
     fc.assert(fc.property(fc.oneof(fc.string(), fc.double().map(String), dates), (text) => {
-      const ms = read(text)
+      const ms = parse(text)
       expect(ms === undefined || (ms >= 0 && ms <= MAX_BACKOFF_MS)).toBe(true)
     }), { numRuns: 1000 })
   })
--- a/routing/quarantine/src/crash-causes.ts
+++ b/routing/quarantine/src/crash-causes.ts
@@ -60,9 +60,9 @@
   return candidates.sort((left, right) => right.score - left.score || (left.fingerprint < right.fingerprint ? -1 : 1))
 }
 
-function isCause (candidate: Candidate, candidates: readonly Candidate[], suspected: ReadonlySet<string>): boolean {
+function isCause (candidate: Candidate, candidates: readonly Candidate[], formerlyQuarantined: ReadonlySet<string>): boolean {
   const { fingerprint, score } = candidate
-  if (suspected.has(fingerprint) || score >= CONCLUSIVE_CRASHES) return true
+  if (formerlyQuarantined.has(fingerprint) || score >= CONCLUSIVE_CRASHES) return true
   if (score < MIN_CRASHES) return false
   return !candidates.some((other) => other !== candidate && other.score >= score && sharesCrash(other, candidate))
 }
