--- a/control/program/src/control-server.ts
+++ b/control/program/src/control-server.ts
@@ -1,4 +1,4 @@
-/** The server of a control process: links of all kinds of process, and the operators' HTTP interface. */
+/** The server of a control process. It accepts the links of all other processes and serves the operators' HTTP interface. */
 import { HttpServer, Koa } from '@gullwall/transport.http-server'
 import { LinkAcceptor, type Link } from '@gullwall/transport.link'
 import { type Message, type MessageOf } from '@gullwall/transport.messages'
@@ -9,25 +9,25 @@
 
 type ProcessRevision = MessageOf<'inForce'>['processes'][number]
 
-const IN_FORCE_TIMEOUT_MS = 1000
-/** How often entries are told which control processes there are, besides at every change seen here, in ms. */
-const TELL_CONTROLS_MS = 2000
+const PEER_REQUEST_TIMEOUT_MS = 1000
+/** Interval at which entries receive the list of control processes, in ms. They also receive it after changes that this process sees. */
+const PUBLISH_CONTROLS_INTERVAL_MS = 2000
 /**
- * After entries have come or gone all are told together, so often at most, in ms: when all of them start at once, each
- * would otherwise hear of each other one.
+ * Shortest interval between publications of the number of entries, in ms. Without batching, each entry would receive one message for
+ * every other entry when all entries start at once.
  */
-const COUNT_SPACING_MS = 100
+const ENTRY_COUNT_INTERVAL_MS = 100
 const LINK_TIMING = { heartbeatMs: 1000, silenceMs: 3000, handshakeMs: 2000 }
 
 export class ControlServer {
   address = ''
   private readonly http: HttpServer
-  /** Takes the links where they have an address of their own. */
+  /** Accepts the links if the settings give them an address of their own. */
   private readonly linkHttp: HttpServer | undefined
   private acceptor: LinkAcceptor | undefined
   private timer: NodeJS.Timeout | undefined
-  private readonly counting = new PacedAction(() => COUNT_SPACING_MS, () => this.tellControls())
-  private readonly announced = new Map<Link, string>()
+  private readonly publishingCount = new PacedAction(() => ENTRY_COUNT_INTERVAL_MS, () => this.publishControls())
+  private readonly announcedAddresses = new Map<Link, string>()
 
   constructor (private readonly services: ControlServices) {
     this.http = new HttpServer(services.api?.(services) ?? createOperatorApi(services, () => this.inForceEverywhere()))
@@ -42,78 +42,78 @@
       logger,
       timing: LINK_TIMING,
       revision: () => store.revision,
-      onOpen: (link) => this.opened(link),
-      onMessage: (link, message) => this.receive(link, message),
-      onRequest: (link, message) => this.answer(link, message),
-      onClose: (link) => this.closed(link)
+      onOpen: (link) => this.handleOpen(link),
+      onMessage: (link, message) => this.handleMessage(link, message),
+      onRequest: (link, message) => this.handleRequest(link, message),
+      onClose: (link) => this.handleClose(link)
     })
     members.onChange((change) => this.toEntries((link) => link.send(change)))
-    this.timer = setInterval(() => this.tellControls(), TELL_CONTROLS_MS)
+    this.timer = setInterval(() => this.publishControls(), PUBLISH_CONTROLS_INTERVAL_MS)
     if (settings.links !== undefined) await this.linkHttp?.listen(settings.links)
     this.address = await this.http.listen(settings.listen)
   }
 
   async stop (): Promise<void> {
     clearInterval(this.timer)
-    this.counting.stop()
+    this.publishingCount.stop()
     const closed = this.http.close()
     this.acceptor?.stop()
     await closed
     await this.linkHttp?.close()
   }
 
-  /** What is in force at each process linked to this one or to a peer. */
+  /** Returns the active revision of each process that is linked to this process or to a peer. */
   async inForceEverywhere (): Promise<ProcessRevision[]> {
-    const asked = this.services.peers.links().map(async (link) => {
+    const requests = this.services.peers.links().map(async (link) => {
       try {
-        return (await link.request({ kind: 'inForce', processes: [] }, 'inForce', IN_FORCE_TIMEOUT_MS)).processes
+        return (await link.request({ kind: 'inForce', processes: [] }, 'inForce', PEER_REQUEST_TIMEOUT_MS)).processes
       } catch {
         return []
       }
     })
-    return [...this.inForceHere(), ...(await Promise.all(asked)).flat()]
+    return [...this.localRevisions(), ...(await Promise.all(requests)).flat()]
   }
 
-  private inForceHere (): ProcessRevision[] {
+  private localRevisions (): ProcessRevision[] {
     const { settings, store, spreader } = this.services
     return [{ process: `control/${settings.member}`, revision: store.revision }, ...spreader.inForce()]
   }
 
-  private opened (link: Link): void {
+  private handleOpen (link: Link): void {
     if (link.peer.role === 'control') return
     this.services.spreader.opened(link)
     if (link.peer.role !== 'entry') return
     link.send({ kind: 'members', whole: true, present: this.services.members.all(), gone: [] })
     this.services.registrar.tellAll(link)
-    link.send(this.controls())
-    this.counting.request()
+    link.send(this.createControlsMessage())
+    this.publishingCount.request()
   }
 
-  /** Tells the entries which control processes there are, and how many entries share the budgets. */
-  private tellControls (): void {
-    const message = this.controls()
+  /** Sends the entries the list of control processes and the number of entries that share the budgets. */
+  private publishControls (): void {
+    const message = this.createControlsMessage()
     this.toEntries((link) => link.send(message))
   }
 
-  private controls (): MessageOf<'controls'> {
+  private createControlsMessage (): MessageOf<'controls'> {
     const { quorum, settings } = this.services
     const addresses = [...new Set([ownLinkAddress(settings), ...memberAddresses(quorum)])]
     const entries = new Set([...this.acceptor?.links ?? []].filter((link) => link.peer.role === 'entry').map((link) => link.peer.name)).size
     return { kind: 'controls', addresses, entries }
   }
 
-  private closed (link: Link): void {
+  private handleClose (link: Link): void {
     this.services.spreader.closed(link)
     this.services.workRelay.closed(link)
-    if (link.peer.role === 'entry') this.counting.request()
-    const address = this.announced.get(link)
+    if (link.peer.role === 'entry') this.publishingCount.request()
+    const address = this.announcedAddresses.get(link)
     if (address === undefined) return
-    this.announced.delete(link)
-    // A sidecar that has linked anew is still there.
-    if (![...this.announced.values()].includes(address)) this.services.members.linkClosed(address)
+    this.announcedAddresses.delete(link)
+    // A sidecar that has opened another link is still connected.
+    if (![...this.announcedAddresses.values()].includes(address)) this.services.members.linkClosed(address)
   }
 
-  private receive (link: Link, message: Message): void {
+  private handleMessage (link: Link, message: Message): void {
     const { spreader, members } = this.services
     if (link.peer.role === 'control') {
       if (message.kind === 'members') members.learn(link.peer.name, message)
@@ -139,12 +139,12 @@
       return
     }
     if (message.kind === 'announce') {
-      this.announced.set(link, message.member.address)
+      this.announcedAddresses.set(link, message.member.address)
       members.announce(message.member)
     }
   }
 
-  private async answer (link: Link, message: Message): Promise<Message> {
+  private async handleRequest (link: Link, message: Message): Promise<Message> {
     const { proposer, quorum } = this.services
     switch (message.kind) {
       case 'confirm': return await proposer.confirm()
@@ -155,7 +155,7 @@
     }
     if (link.peer.role !== 'control') return { kind: 'failed', code: 'ERR_GULLWALL_NOT_ALLOWED', message: `${message.kind} from ${link.peer.role}` }
     switch (message.kind) {
-      case 'inForce': return { kind: 'inForce', processes: this.inForceHere() }
+      case 'inForce': return { kind: 'inForce', processes: this.localRevisions() }
       case 'leases':
         this.services.leases.merge(message.leases)
         return { kind: 'done' }
@@ -176,7 +176,7 @@
     }
     const leaderAddress = leader === undefined ? undefined : quorum.membership.voters[leader]?.address
     if (leaderAddress === undefined) return { kind: 'failed', code: 'ERR_GULLWALL_NO_QUORUM', message: 'no leader is known' }
-    return await peers.call(leaderAddress, message, 'done', IN_FORCE_TIMEOUT_MS)
+    return await peers.call(leaderAddress, message, 'done', PEER_REQUEST_TIMEOUT_MS)
   }
 
   toEntries (send: (link: Link) => void): void {
--- a/control/program/src/crash-judge.ts
+++ b/control/program/src/crash-judge.ts
@@ -1,6 +1,6 @@
 /**
- * Brings what entries saw of crashed endpoints into the replicated state. The leader of the quorum has it judged, and
- * forgotten after a time that it counts itself: a new leader counts from its start, so that nothing is forgotten too soon.
+ * Adds the crash reports of entries to the replicated state. The leader of the quorum has the crashes evaluated, and removed after
+ * a retention time. Each leader measures the age of crashes from the start of its leadership, so that none is removed too early.
  */
 import { messageOf } from '@gullwall/core.error'
 import { gauge, type Registry } from '@gullwall/core.metrics'
@@ -9,17 +9,17 @@
 import { FirstSeen } from './first-seen.ts'
 import { type ControlServices } from './index.ts'
 
-/** How often the leader looks whether there is something to judge or to forget, in ms. */
-const LOOK_MS = 50
+/** Interval at which the leader checks for crashes to evaluate or to remove, in ms. */
+const CHECK_INTERVAL_MS = 50
 /**
- * A crash is judged so long after the first word of it, in ms: entries tell within 20 ms and a round trip, and who tells first
- * must not decide; meanwhile a request that is repeated at once ends further engines.
+ * Delay between the first report of a crash and its evaluation, in ms. Entries report a crash within 20 ms and a round trip, and
+ * the first report alone must not decide. During a longer delay a request that its caller repeats at once crashes more engines.
  */
 const SETTLE_MS = 150
-/** A crash is forgotten after this time, in ms: callers that repeat a request by hand do so within minutes. */
-const CRASH_KEPT_MS = 10 * 60_000
-/** A request is held for so long, in ms. Then it may run again, and one crash holds it anew: one engine in half an hour at most. */
-const HELD_MS = 30 * 60_000
+/** Retention time of a crash, in ms. Callers that repeat a request by hand do so within minutes. */
+const CRASH_RETENTION_MS = 10 * 60_000
+/** Quarantine time of a request, in ms. After it a single crash quarantines the request again: one engine in half an hour at most. */
+const QUARANTINE_MS = 30 * 60_000
 
 export interface CrashJudgeOptions {
   crashKeptMs?: number
@@ -29,7 +29,7 @@
 
 export class CrashJudge {
   private readonly crashAges = new FirstSeen<string>()
-  private readonly heldAges = new FirstSeen<string>()
+  private readonly quarantineAges = new FirstSeen<string>()
   private readonly now: () => number
   private unjudgedSince: number | undefined
   private isBusy = false
@@ -43,7 +43,7 @@
   }
 
   start (): void {
-    this.timer = setInterval(() => { void this.look() }, LOOK_MS)
+    this.timer = setInterval(() => { void this.look() }, CHECK_INTERVAL_MS)
   }
 
   stop (): void {
@@ -56,34 +56,34 @@
       const metric = gauge(registry, name, help)
       Object.assign(metric, { collect: () => metric.set(value()) })
     }
-    add('gullwall_quarantined_requests', 'Requests that are held because endpoints crash under them', () => evidence.held.size)
-    add('gullwall_crash_suspects', 'Requests that were running when an endpoint crashed and are not held', () => evidence.suspects)
-    add('gullwall_crashes_kept', 'Crashes of endpoints that are remembered', () => evidence.endpoints.length)
+    add('gullwall_quarantined_requests', 'Requests that are quarantined because endpoints crash while they run', () => evidence.held.size)
+    add('gullwall_crash_suspects', 'Requests that were running when an endpoint crashed and are not quarantined', () => evidence.suspects)
+    add('gullwall_crashes_kept', 'Crashes of endpoints that are retained', () => evidence.endpoints.length)
   }
 
   /**
-   * Takes what an entry saw; durable once this resolves.
-   * @throws ERR_GULLWALL_NO_QUORUM, ERR_GULLWALL_NOT_LEADER, ERR_GULLWALL_OUTCOME_UNKNOWN; the same may be told again
+   * Records the crash report of an entry. The report is durable once the promise resolves.
+   * @throws ERR_GULLWALL_NO_QUORUM, ERR_GULLWALL_NOT_LEADER, ERR_GULLWALL_OUTCOME_UNKNOWN; the entry may send the same report again
    */
   async note ({ crashes, ranWell }: MessageOf<'crashes'>): Promise<MessageOf<'done'>> {
     const result = await this.services.proposer.quarantine({ type: 'note-crashes', crashes, ranWell })
-    this.log(result, 'it has run well')
+    this.log(result, 'the request completed successfully')
     return { kind: 'done' }
   }
 
-  /** Judges and forgets what is due, if this process leads. */
+  /** Evaluates and removes the crashes that are due, if this process leads. */
   async look (): Promise<void> {
     if (this.services.quorum.role !== 'leader') {
       this.unjudgedSince = undefined
       this.crashAges.reset()
-      this.heldAges.reset()
+      this.quarantineAges.reset()
       return
     }
     if (this.isBusy) return
     this.isBusy = true
     try {
-      await this.judgeIfDue()
-      await this.forgetIfDue()
+      await this.evaluateIfDue()
+      await this.removeIfDue()
     } catch (error) {
       this.services.logger.warn({ channel: 'quarantine', event: 'postponed', fingerprint: '', why: messageOf(error) })
     } finally {
@@ -91,7 +91,7 @@
     }
   }
 
-  private async judgeIfDue (): Promise<void> {
+  private async evaluateIfDue (): Promise<void> {
     const { evidence } = this.services.state.quarantine
     if (evidence.isJudged) {
       this.unjudgedSince = undefined
@@ -101,28 +101,28 @@
     this.unjudgedSince ??= now
     if (now - this.unjudgedSince < SETTLE_MS) return
     this.unjudgedSince = undefined
-    this.log(await this.services.proposer.quarantine({ type: 'judge-crashes' }), 'too many are held')
+    this.log(await this.services.proposer.quarantine({ type: 'judge-crashes' }), 'too many requests are quarantined')
   }
 
-  private async forgetIfDue (): Promise<void> {
+  private async removeIfDue (): Promise<void> {
     const { evidence } = this.services.state.quarantine
-    const { crashKeptMs = CRASH_KEPT_MS, heldMs = HELD_MS } = this.options
+    const { crashKeptMs = CRASH_RETENTION_MS, heldMs = QUARANTINE_MS } = this.options
     const now = this.now()
     const due: ForgetCrashesCommand = {
       type: 'forget-crashes',
       endpoints: this.crashAges.olderThan(crashKeptMs, evidence.endpoints, now),
-      requests: this.heldAges.olderThan(heldMs, evidence.held, now)
+      requests: this.quarantineAges.olderThan(heldMs, evidence.held, now)
     }
     if (due.endpoints.length + due.requests.length === 0) return
-    this.log(await this.services.proposer.quarantine(due), 'its time has passed; one more crash holds it again')
+    this.log(await this.services.proposer.quarantine(due), 'the quarantine time is over; one more crash quarantines the request again')
   }
 
-  private log ({ held, released }: QuarantineResult, whyReleased: string): void {
+  private log ({ held, released }: QuarantineResult, releaseReason: string): void {
     const { logger, state: { quarantine: { evidence } } } = this.services
     for (const fingerprint of held) {
-      const why = `${evidence.crashesOf(fingerprint)} endpoints crashed while it was running there, and nothing else explains that`
+      const why = `${evidence.crashesOf(fingerprint)} endpoints crashed while the request was running there, and no other request explains the crashes`
       logger.warn({ channel: 'quarantine', event: 'held', fingerprint, why })
     }
-    for (const fingerprint of released) logger.info({ channel: 'quarantine', event: 'released', fingerprint, why: whyReleased })
+    for (const fingerprint of released) logger.info({ channel: 'quarantine', event: 'released', fingerprint, why: releaseReason })
   }
 }
--- a/control/program/src/documents.ts
+++ b/control/program/src/documents.ts
@@ -1,4 +1,4 @@
-/** Routing documents: taken through the log, read back only when certain to be the newest. */
+/** Stores routing documents through the replicated log, and reads the newest one after the quorum has confirmed it. */
 import { type Either, Left, Right } from 'purify-ts'
 import { type Mistake } from '@gullwall/config.checker'
 import { checkRegions, type RoutingDocument } from '@gullwall/config.document'
@@ -15,27 +15,27 @@
   }
 
   /**
-   * Has a document accepted; a lower or equal version than the one held changes nothing.
+   * Proposes a document. A version that is not higher than the stored version changes nothing.
    * @throws ERR_GULLWALL_NO_QUORUM, ERR_GULLWALL_NOT_LEADER, ERR_GULLWALL_OUTCOME_UNKNOWN
    */
   async put (text: string): Promise<Either<Mistake[], DocumentResult>> {
     const { format, logger } = this.services
-    const parsed = format.parse(text).chain((document) => this.inKnownRegions(document))
+    const parsed = format.parse(text).chain((document) => this.checkKnownRegions(document))
     if (parsed.isLeft()) {
       const mistakes = parsed.swap().orDefault([])
-      logger.warn({ channel: 'configuration', event: 'refused', revision: this.services.store.revision, why: firstOf(mistakes) })
+      logger.warn({ channel: 'configuration', event: 'refused', revision: this.services.store.revision, why: describeMistakes(mistakes) })
       return Left(mistakes)
     }
     const { version } = parsed.unsafeCoerce()
-    const held = this.services.state.document
-    // What is applied here was accepted by a quorum before.
-    if (held !== undefined && held.version >= version) return Right({ taken: false, version: held.version })
+    const current = this.services.state.document
+    // A document that is applied in this process was accepted by the quorum before.
+    if (current !== undefined && current.version >= version) return Right({ taken: false, version: current.version })
     return Right(await this.services.proposer.document({ type: 'document', version, text }))
   }
 
   /**
-   * Gives the newest document, or undefined where there is none.
-   * @throws ERR_GULLWALL_NO_QUORUM, ERR_GULLWALL_NOT_LEADER if that can't be told for sure
+   * Returns the newest document, or undefined if there is none.
+   * @throws ERR_GULLWALL_NO_QUORUM, ERR_GULLWALL_NOT_LEADER if the newest version can't be determined
    */
   async read (): Promise<StoredDocument | undefined> {
     const { proposer, state, store } = this.services
@@ -45,16 +45,16 @@
   }
 
   /**
-   * Checked here alone: an accepted document is in force at every entry, also at one whose settings name the region only
-   * after a reload.
+   * Checks that the settings name all regions of a document. Entries do not repeat the check: an accepted document must be active at
+   * every entry, including those whose settings name a region only after a reload.
    */
-  private inKnownRegions (document: RoutingDocument): Either<Mistake[], RoutingDocument> {
+  private checkKnownRegions (document: RoutingDocument): Either<Mistake[], RoutingDocument> {
     const mistakes = checkRegions(document, this.regions.names)
     return mistakes.length === 0 ? Right(document) : Left(mistakes)
   }
 }
 
-function firstOf (mistakes: readonly Mistake[]): string {
+function describeMistakes (mistakes: readonly Mistake[]): string {
   const [first] = mistakes
   return first === undefined ? 'invalid' : `${first.keyPath}: found ${first.found}; allowed: ${first.allowed} (${mistakes.length} mistakes)`
 }
--- a/control/program/src/duty-lease.ts
+++ b/control/program/src/duty-lease.ts
@@ -1,42 +1,42 @@
 /**
- * The lease under which one control process acts for the deployment towards the outside. The leader of the quorum holds it:
- * there is one leader in each term, terms are on the disks of a majority before they are used, and they never repeat. So the
- * term is the fencing token.
+ * The lease under which one control process acts for the deployment towards external systems. The leader of the quorum holds it.
+ * Each term has one leader, a majority stores a term before it is used, and terms never repeat. The term therefore serves as the
+ * fencing token.
  */
 
 import { suspensions } from '@gullwall/core.clock'
 
-/** What a holder shows with each act; a higher token replaces all lower ones. */
+/** An acquired lease. The holder sends the token with each call, and a higher token invalidates all lower ones. */
 export interface Fence {
   token: number
-  /** Until when the holder may begin to act, by the monotonic clock. */
+  /** Time until which the holder may start a call, by the monotonic clock. */
   validUntil: number
-  /** For how long this process had been suspended when it asked for the fence, in ms; what it sleeps since counts against it. */
+  /** Total time that this process had been suspended when it requested the lease, in ms. Later suspensions shorten the validity. */
   sleptMs: number
 }
 
 export interface DutyLeaseOptions {
-  /** No other process acts within this time after the latest moment at which this one may have begun to act, in ms. */
+  /** Time between the last possible start of a call by one holder and the first call by the next holder, in ms. */
   leaseMs: number
   /** The term in which this process leads; undefined while it does not. */
   leadingTerm: () => number | undefined
-  /** Resolves once a majority has answered that this process still leads, to questions asked after the call. */
+  /** Asks a majority whether this process still leads. Resolves once the majority has confirmed it after the call. */
   confirm: () => Promise<unknown>
   now?: () => number
-  /** For how long this process has been suspended so far, in ms. */
+  /** Returns the total time that this process has been suspended, in ms. */
   slept?: () => number
 }
 
 /**
- * The share of the lease in which the holder acts after a majority has confirmed it. The rest is the margin: the next leader
- * is elected after that confirmation at the earliest, and then waits for the whole lease.
+ * The share of the lease time during which the holder may act after it requested the confirmation. The remaining time is a safety
+ * margin: the next leader is elected after that confirmation at the earliest, and then waits for the whole lease time.
  */
 const ACTING_SHARE = 0.5
 
 export class DutyLease {
   private term: number | undefined
   private ledSince = -Infinity
-  /** The token that the outside has refused because it has seen a higher one. */
+  /** The token that an external system has refused because it received a higher one. */
   private refusedToken: number | undefined
   private readonly now: () => number
   private readonly slept: () => number
@@ -46,19 +46,19 @@
     this.slept = options.slept ?? (() => suspensions.slept())
   }
 
-  /** Gives the fence under which this process may act now; undefined while it may not. */
+  /** Acquires the lease. Returns undefined while this process may not act. */
   async acquire (): Promise<Fence | undefined> {
     const { leaseMs, confirm } = this.options
     const token = this.observeTerm()
     if (token === undefined || token === this.refusedToken) return undefined
-    // The leader before may have been confirmed until just before this one was elected.
+    // The previous leader may have been confirmed until just before this process was elected.
     if (this.now() - this.ledSince < leaseMs) return undefined
     const askedAt = this.now()
     const sleptMs = this.slept()
     try {
       await confirm()
     } catch {
-      // Not confirmed is the ordinary answer to a leader that is cut off; it may not act.
+      // A leader that is cut off from the majority gets no confirmation and may not act.
       return undefined
     }
     if (this.observeTerm() !== token) return undefined
@@ -70,12 +70,12 @@
     return this.observeTerm() === token && token !== this.refusedToken && now < validUntil
   }
 
-  /** Notes that a higher token was seen outside: this term acts no more. */
+  /** Records that an external system refused the token, so that this process does not act again in this term. */
   noteRefused (token: number): void {
     this.refusedToken = token
   }
 
-  /** Gives the term in which this process leads, and notes when it began to; the sooner it is asked, the sooner the wait is over. */
+  /** Returns the term in which this process leads, and records its start. Frequent calls record the start with less delay. */
   observeTerm (): number | undefined {
     const term = this.options.leadingTerm()
     if (term !== this.term) {
--- a/control/program/src/first-seen.ts
+++ b/control/program/src/first-seen.ts
@@ -1,15 +1,15 @@
-/** How long each of some things has been there, as far as this process has seen; for things that carry no time. */
+/** Measures how long this process has observed each key, for keys without a timestamp. */
 
 export class FirstSeen<Key> {
   private seenAt = new Map<Key, number>()
 
-  /** Looks at what is there now; gives what has been there for longer than a time, in ms. */
+  /** Records the keys that are present now. Returns those that have been present for longer than `ageMs`. */
   olderThan (ageMs: number, present: Iterable<Key>, now: number): Key[] {
     this.seenAt = new Map([...present].map((key) => [key, this.seenAt.get(key) ?? now]))
     return [...this.seenAt].filter(([, seenAt]) => now - seenAt > ageMs).map(([key]) => key)
   }
 
-  /** Counts anew from the next look on. */
+  /** Restarts all ages at the next call of `olderThan`. */
   reset (): void {
     this.seenAt.clear()
   }
--- a/control/program/src/grant-duty.ts
+++ b/control/program/src/grant-duty.ts
@@ -1,23 +1,23 @@
-/** When this process may grant requests to cold endpoints, and the ledger that it then keeps: one for each term in which it leads. */
+/** Decides when this process may grant requests to endpoints, and keeps one grant ledger for each term in which the process leads. */
 import { GrantLedger, SPAN_MS } from './grant-ledger.ts'
 import { DutyLease, type Fence } from './duty-lease.ts'
 
-/** The lease under which the leader grants, in ms. A majority confirms it each half of it at most. */
+/** Length of the lease under which the leader grants, in ms. The leader asks a majority to confirm it at least every half of this time. */
 export const GRANT_LEASE_MS = 1000
 
 export interface GrantDutyOptions {
   /** The term in which this process leads; undefined while it does not. */
   leadingTerm: () => number | undefined
-  /** Resolves once a majority has answered that this process still leads, to questions asked after the call. */
+  /** Asks a majority whether this process still leads. Resolves once the majority has confirmed it after the call. */
   confirm: () => Promise<unknown>
   now?: () => number
   leaseMs?: number
-  /** Makes the ledger of a term that begins now. */
+  /** Creates the ledger of a term that begins now. */
   newLedger?: (now: number) => GrantLedger
 }
 
-/** Whoever led before may have granted until its lease ran out, and what it granted is used for a span. */
-function afterTakeOver (now: number): GrantLedger {
+/** Waits out the lease of the previous leader and the span in which its last grants may still be used. */
+function createLedgerAfterTakeover (now: number): GrantLedger {
   return new GrantLedger({ opensAt: now + GRANT_LEASE_MS + SPAN_MS })
 }
 
@@ -35,33 +35,33 @@
     this.lease = new DutyLease({ leaseMs, leadingTerm, confirm, now: this.now })
   }
 
-  /** Sees whether this process leads; the sooner it sees that, the sooner it may grant. */
+  /** Updates the term and removes idle endpoints. The process may grant earlier if the start of its term is noticed earlier. */
   observe (): void {
     const term = this.lease.observeTerm()
     const now = this.now()
     if (term !== this.term) {
       this.term = term
-      this.ledger = term === undefined ? undefined : (this.options.newLedger ?? afterTakeOver)(now)
+      this.ledger = term === undefined ? undefined : (this.options.newLedger ?? createLedgerAfterTakeover)(now)
     }
     this.ledger?.sweep(now)
   }
 
-  /** Gives the ledger, to be used in the same turn of the event loop; undefined while this process may not grant. */
+  /** Returns the ledger, for use in the same turn of the event loop. Returns undefined while this process may not grant. */
   async held (): Promise<GrantLedger | undefined> {
-    if (!this.isHeld()) {
+    if (!this.isLeaseActive()) {
       this.acquiring ??= this.lease.acquire().finally(() => { this.acquiring = undefined })
       this.fence = await this.acquiring
     }
     this.observe()
-    return this.isHeld() ? this.ledger : undefined
+    return this.isLeaseActive() ? this.ledger : undefined
   }
 
-  /** For how many endpoints grants are counted here. */
+  /** Number of endpoints whose grants this process counts. */
   get size (): number {
     return this.ledger?.size ?? 0
   }
 
-  private isHeld (): boolean {
+  private isLeaseActive (): boolean {
     return this.fence !== undefined && this.lease.isValid(this.fence)
   }
 }
--- a/control/program/src/grant-ledger.ts
+++ b/control/program/src/grant-ledger.ts
@@ -1,59 +1,61 @@
 /**
- * Which grants to send to bounded endpoints were given, and how much may still be granted. No sockets, no timers: time is an
- * argument, by one monotonic clock. An endpoint may be bounded for several reasons (it is cold; it has named a limit): the
- * grants are counted once, and the smallest bound holds.
+ * Records the grants to send requests to bounded endpoints and computes how many more requests may be granted. The ledger has no
+ * sockets and no timers; callers pass the time of one monotonic clock. An endpoint may have several bounds: one because it is
+ * cold, another because it advertises a limit. Each grant is counted once, and the smallest bound applies.
  *
- * A grant is used between the moment at which it is given and the end of its use, counted from when it was asked for, which was
- * earlier; a request that was dispatched by then has been sent, or never is, soon after. So whatever is sent to an endpoint
- * within one window comes from grants of one span, and their sum is bounded.
+ * A box may use a grant from the time at which it is given until its validity ends. The validity is counted from the time of the
+ * request, which is earlier. A request that was dispatched within the validity is sent within `sentWithinMs` after it or not at
+ * all. All requests that reach an endpoint within one window therefore come from grants of one span, and the ledger bounds the
+ * sum of these grants.
  */
 import { boundOfRate, SendLog, type RateBound } from '@gullwall/routing.rates'
 import { type Grant } from '@gullwall/transport.messages'
 
-/** One reason to bound what an endpoint is sent. */
+/** A bound on the requests that are sent to an endpoint. */
 export interface GrantBound extends RateBound {
-  /** For how long after it was asked for a grant is used, in ms. */
+  /** Validity of a grant, counted from the time of its request, in ms. */
   useMs: number
-  /** A request that was dispatched within the use has been sent within this time after it or never is, in ms. */
+  /** Longest time between the end of the validity and the sending of a request that was dispatched within the validity, in ms. */
   sentWithinMs: number
-  /** The most requests of one grant: what one box can't use in time is lost to all. */
+  /** Largest number of requests in one grant. Requests that a box does not use within the validity are lost to all boxes. */
   maxGrant: number
-  /** Whether boxes that are refused are asked to come back one after the other, and not as soon as there is more. */
+  /** Whether refused boxes get staggered retry times, instead of all retrying as soon as requests are available. */
   isQueued: boolean
-  /** Nothing is granted for so long after the endpoint was first asked for, in ms: boxes that had not heard of it sent as they liked. */
+  /** Delay after the first request for an endpoint, in ms. Boxes that do not know the bound yet send requests without grants. */
   settleMs: number
 }
 
-/** The time in which a cold endpoint's requests are counted, in ms. */
+/** Window of the bound of a cold endpoint, in ms. */
 export const WINDOW_MS = 1000
-/** For how long a grant to a cold endpoint is used, in ms: a round trip through two control processes and a few arrivals. */
+/** Validity of a grant for a cold endpoint, in ms: a round trip through two control processes and a few request arrivals. */
 export const GRANT_USE_MS = 500
-/** After the use of such a grant, in ms: to connect takes 350 at most. */
+/** Longest sending delay after the validity of a grant for a cold endpoint, in ms. Connecting takes at most 350 ms. */
 export const SENT_WITHIN_MS = 400
-/** The most requests of one grant to a cold endpoint. */
+/** Largest number of requests in one grant for a cold endpoint. */
 export const MAX_GRANT = 5
-/** For how long a grant under a named limit is used, in ms: the requests wait for it, and the first byte leaves within the use. */
+/** Validity of a grant under an advertised limit, in ms. Requests wait for the grant and send their first byte within the validity. */
 export const LIMIT_USE_MS = 250
-/** How much faster the clock of the ledger may run than that of an endpoint, and than that of a box that uses a grant. */
+/** Largest relative difference by which the clock of the ledger may run faster than the clock of an endpoint. */
 const ENDPOINT_CLOCK_MARGIN = 0.025
+/** Largest relative difference by which the clock of the ledger may run faster than the clock of a box that uses a grant. */
 const BOX_CLOCK_MARGIN = 0.05
-/** A cold endpoint settles for so long, in ms: a heartbeat and its way to all boxes. */
+/** Delay before the first grant for a cold endpoint, in ms: one heartbeat interval and its propagation to all boxes. */
 export const SETTLE_MS = 1100
-/** One that has named a limit, in ms: the way of the word to all boxes. */
+/** Delay before the first grant under an advertised limit, in ms: the propagation of the limit to all boxes. */
 export const LIMIT_SETTLE_MS = 250
 const COLD_PARTS = 2
-/** An endpoint that nobody has asked for is forgotten after this time, in ms: longer than any span, and than pauses of light traffic. */
-const FORGET_MS = 30_000
-/** After the end that it told, an endpoint that is cold for longer than this has turned cold again, in ms: more than clocks do. */
-const TURNED_COLD_MS = 500
-/** A box that was refused asks again after this time at the earliest, in ms. */
-const LEAST_WAIT_MS = 50
-/** Boxes that wait for the same request come back so far apart, in ms: the time for an ask, so that the first one has it. */
-const TURN_MS = 20
-/** A box that is later than this for its turn has no use for it any more, in ms. */
-const LATE_MS = 1000
-
-/** The bound of a cold endpoint, for so many requests within any second. */
+/** An endpoint without requests is removed after this time, in ms. The time exceeds every span and the gaps of light traffic. */
+const IDLE_RETENTION_MS = 30_000
+/** An endpoint that reports more cold time than this after its reported end has become cold again, in ms. The time exceeds clock drift. */
+const COLD_AGAIN_MS = 500
+/** Shortest retry delay of a refused box, in ms. */
+const MIN_RETRY_MS = 50
+/** Interval between the retries of queued boxes, in ms. One grant request takes less, so that the first box gets the free request. */
+const RETRY_INTERVAL_MS = 20
+/** A box that misses its retry time by more than this is removed from the queue, in ms. */
+const QUEUE_TIMEOUT_MS = 1000
+
+/** Returns the bound of a cold endpoint that may get `requests` requests within any window of `WINDOW_MS`. */
 export function coldGrantBound (requests: number): GrantBound {
   return {
     requests,
@@ -68,55 +70,56 @@
   }
 }
 
-/** The bound of an endpoint that takes so many requests a second; undefined where that bounds nothing. */
+/** Returns the bound of an endpoint that advertises a limit in requests per second. Returns undefined if the rate is too high to bound. */
 export function limitGrantBound (perSecond: number): GrantBound | undefined {
   const bound = boundOfRate(perSecond)
   if (bound === undefined) return undefined
   return { ...bound, useMs: LIMIT_USE_MS, sentWithinMs: 0, maxGrant: bound.requests, isQueued: true, settleMs: LIMIT_SETTLE_MS }
 }
 
-/** Grants that are further apart than this have nothing in one window of the bound, in ms. */
+/** Returns the span of a bound, in ms. Requests of two grants that are further apart than the span never fall into one window. */
 export function spanOf ({ windowMs, useMs, sentWithinMs }: GrantBound): number {
   return Math.ceil((1 + ENDPOINT_CLOCK_MARGIN) * windowMs + (1 + BOX_CLOCK_MARGIN) * (useMs + sentWithinMs))
 }
 
-/** The span of grants to cold endpoints, in ms. */
+/** The span of the grants for cold endpoints, in ms. */
 export const SPAN_MS = spanOf(coldGrantBound(0))
 
-/** What was granted of one endpoint. */
+/** The grants for one endpoint. */
 interface Account {
-  /** When it was first asked for, since the start or since it has turned cold again. */
+  /** Time of the first request, since the ledger started or since the endpoint became cold again. */
   firstAskedAt: number
-  /** Whether what another ledger may have granted of it is counted. */
+  /** Whether the possible grants of the previous leader's ledger are counted. */
   isAssumed: boolean
-  /** Until when it is cold by its word. */
+  /** End of the cold period that the endpoint reported. */
   coldUntil: number | undefined
   askedAt: number
   grants: SendLog
-  /** When the boxes that were refused, and have had no grant since, are to come back; the one that waits longest first. */
+  /** Retry times of the boxes that have had no grant since their refusal. The box that waits longest comes first. */
   queue: Map<string, number>
 }
 
 export interface LedgerAsk {
   incarnation: string
-  /** Who asks. */
+  /** Name of the requesting box. */
   box: string
-  /** How many requests are wished for. */
+  /** Number of requests to grant. */
   requests: number
-  /** All reasons to bound it; one that is bounded by none is granted nothing. */
+  /** All bounds of the endpoint. An endpoint without bounds is granted nothing. */
   bounds: readonly GrantBound[]
-  /** What it said last, by the clock of the ledger; none where it does not say. */
+  /** The latest cold status of the endpoint, by the clock of the ledger; undefined if the endpoint does not report one. */
   word?: { heardAt: number, coldMs: number } | undefined
 }
 
 export interface LedgerOptions {
   /**
-   * Nothing is granted to cold endpoints before: what another ledger has granted may still be sent. It granted its last a span of such
-   * grants earlier at the latest; from then on there are grants under limits, less what it may have granted of them.
+   * Start of the grants for cold endpoints. Requests of the previous leader's grants may be sent until then. That leader gave its
+   * last grant at least `SPAN_MS` before. Grants under advertised limits start at that time, minus the possible grants of the
+   * previous leader.
    */
   opensAt: number
   spanOf?: (bound: GrantBound) => number
-  /** Instead of the times of the bounds, in ms. */
+  /** Replaces the `settleMs` of the bounds, in ms. */
   settleMs?: number
 }
 
@@ -132,50 +135,50 @@
     this.settleMs = settleMs
   }
 
-  /** Grants what may be sent to an endpoint, or tells after which time to ask again. */
+  /** Grants requests to an endpoint, or returns a grant of 0 requests with the retry delay. */
   grant ({ incarnation, box, requests, bounds, word }: LedgerAsk, now: number): Grant {
-    const account = this.accountOf(incarnation, now)
-    if (hasTurnedCold(account, word)) account.firstAskedAt = now
+    const account = this.findOrCreateAccount(incarnation, now)
+    if (updateColdUntil(account, word)) account.firstAskedAt = now
     account.askedAt = now
     const spans = bounds.map((bound) => ({ ...bound, windowMs: this.spanOf(bound) }))
     const longest = Math.max(SPAN_MS, ...spans.map(({ windowMs }) => windowMs))
-    account.grants.forgetBefore(now - Math.max(longest, FORGET_MS))
-    const opensAt = this.opensFor(account, spans)
-    if (now < opensAt) return refusal(incarnation, turnAfter(account, box, { bounds, freeMs: opensAt - now, now }))
+    account.grants.forgetBefore(now - Math.max(longest, IDLE_RETENTION_MS))
+    const opensAt = this.findStart(account, spans)
+    if (now < opensAt) return createRefusal(incarnation, queueRetry(account, box, { bounds, freeMs: opensAt - now, now }))
     const free = spans.map((span) => Math.min(span.maxGrant, account.grants.free(span, now)))
     const granted = Math.min(requests, ...(free.length === 0 ? [0] : free))
-    if (granted < 1) return refusal(incarnation, turnAfter(account, box, { bounds, freeMs: untilFree(account, spans, now), now }))
+    if (granted < 1) return createRefusal(incarnation, queueRetry(account, box, { bounds, freeMs: findDelayMs(account, spans, now), now }))
     account.grants.add(granted, now)
     account.queue.delete(box)
     return { incarnation, requests: granted, withinMs: Math.min(...bounds.map(({ useMs }) => useMs)) }
   }
 
-  /** Forgets endpoints that nobody asks for any more. */
+  /** Removes endpoints without recent requests. */
   sweep (now: number): void {
     for (const [incarnation, { askedAt }] of this.accounts) {
-      if (now - askedAt > FORGET_MS) this.accounts.delete(incarnation)
+      if (now - askedAt > IDLE_RETENTION_MS) this.accounts.delete(incarnation)
     }
   }
 
-  /** For how many endpoints grants are counted. */
+  /** Number of endpoints whose grants are counted. */
   get size (): number {
     return this.accounts.size
   }
 
-  /** When the first request may be granted under all of the bounds; counts what another ledger may have granted under limits. */
-  private opensFor (account: Account, spans: readonly GrantBound[]): number {
-    const othersEndedAt = this.opensAt - SPAN_MS
+  /** Returns when the first request may be granted under all bounds. Counts the possible grants of the previous leader under a limit. */
+  private findStart (account: Account, spans: readonly GrantBound[]): number {
+    const previousLeaderEndedAt = this.opensAt - SPAN_MS
     const limit = spans.find(({ isQueued }) => isQueued)
     if (limit !== undefined && !account.isAssumed) {
       account.isAssumed = true
-      account.grants.assumeUsed(limit, othersEndedAt)
+      account.grants.assumeUsed(limit, previousLeaderEndedAt)
     }
     const isCold = spans.some(({ isQueued }) => !isQueued)
     const settleMs = this.settleMs ?? Math.max(0, ...spans.map((bound) => bound.settleMs))
-    return Math.max(isCold ? this.opensAt : othersEndedAt, account.firstAskedAt + settleMs)
+    return Math.max(isCold ? this.opensAt : previousLeaderEndedAt, account.firstAskedAt + settleMs)
   }
 
-  private accountOf (incarnation: string, now: number): Account {
+  private findOrCreateAccount (incarnation: string, now: number): Account {
     const known = this.accounts.get(incarnation)
     if (known !== undefined) return known
     const account: Account = {
@@ -186,41 +189,41 @@
   }
 }
 
-interface Refused {
+interface Refusal {
   bounds: readonly GrantBound[]
-  /** When there is more, in ms from now. */
+  /** Time until requests are available, in ms. */
   freeMs: number
   now: number
 }
 
 /**
- * After which time a box that was refused asks again, in ms: when there is more, and in its turn. All of them at once would ask
- * for the same request, and the quickest of them would always have it.
+ * Returns the retry delay of a refused box, in ms, and adds the box to the queue of a queued bound. With equal delays all refused
+ * boxes would compete for the same request, and the fastest box would always win.
  */
-function turnAfter ({ queue }: Account, box: string, { bounds, freeMs, now }: Refused): number {
+function queueRetry ({ queue }: Account, box: string, { bounds, freeMs, now }: Refusal): number {
   if (!bounds.some(({ isQueued }) => isQueued)) return freeMs
-  for (const [other, turnAt] of queue) if (now - turnAt > LATE_MS) queue.delete(other)
+  for (const [queuedBox, retryAt] of queue) if (now - retryAt > QUEUE_TIMEOUT_MS) queue.delete(queuedBox)
   const place = queue.has(box) ? [...queue.keys()].indexOf(box) : queue.size
-  const waitMs = freeMs + place * TURN_MS
+  const waitMs = freeMs + place * RETRY_INTERVAL_MS
   queue.set(box, now + waitMs)
   return waitMs
 }
 
-/** After which time each bound that is used up allows more, in ms. */
-function untilFree ({ grants }: Account, spans: readonly RateBound[], now: number): number {
-  const usedUp = spans.filter((span) => grants.free(span, now) < 1)
-  return Math.max(LEAST_WAIT_MS, ...usedUp.map((span) => grants.untilFree(span, now)))
+/** Returns the time until every exhausted bound allows a request, in ms. */
+function findDelayMs ({ grants }: Account, spans: readonly RateBound[], now: number): number {
+  const exhausted = spans.filter((span) => grants.free(span, now) < 1)
+  return Math.max(MIN_RETRY_MS, ...exhausted.map((span) => grants.untilFree(span, now)))
 }
 
-/** Notes the word of an endpoint; true if it was warm in between, so that boxes may still send as to a warm one. */
-function hasTurnedCold (account: Account, word: LedgerAsk['word']): boolean {
+/** Updates the cold period. Returns true if the endpoint was warm in between, so that boxes may still send as to a warm endpoint. */
+function updateColdUntil (account: Account, word: LedgerAsk['word']): boolean {
   if (word === undefined || word.coldMs === 0) return false
   const { coldUntil } = account
   const until = word.heardAt + word.coldMs
   account.coldUntil = Math.max(until, coldUntil ?? -Infinity)
-  return coldUntil !== undefined && word.heardAt > coldUntil && word.coldMs > TURNED_COLD_MS
+  return coldUntil !== undefined && word.heardAt > coldUntil && word.coldMs > COLD_AGAIN_MS
 }
 
-function refusal (incarnation: string, waitMs: number): Grant {
-  return { incarnation, requests: 0, withinMs: Math.max(LEAST_WAIT_MS, Math.ceil(waitMs)) }
+function createRefusal (incarnation: string, waitMs: number): Grant {
+  return { incarnation, requests: 0, withinMs: Math.max(MIN_RETRY_MS, Math.ceil(waitMs)) }
 }
--- a/control/program/src/granter.ts
+++ b/control/program/src/granter.ts
@@ -1,7 +1,7 @@
 /**
- * Grants requests to endpoints that are cold or have named a limit. The leader of the quorum alone grants, under a short lease;
- * the others pass wishes on to it. A process that leads anew knows nothing of what was granted before, and waits until none of
- * that can still be sent.
+ * Grants requests to endpoints that are cold or advertise a limit. Only the leader of the quorum grants, under a short lease. The
+ * other processes forward grant requests to the leader. A new leader does not know the grants of the previous leader and waits
+ * until no request of those grants can still be sent.
  */
 import { RouteTable, type ColdLimit } from '@gullwall/config.document'
 import { GullwallError } from '@gullwall/core.error'
@@ -11,7 +11,7 @@
 import { coldGrantBound, limitGrantBound, type GrantBound, type GrantLedger, type LedgerAsk } from './grant-ledger.ts'
 import { type ControlServices } from './index.ts'
 
-/** How often it is seen whether this process leads, in ms. */
+/** Interval at which the process checks whether it leads, in ms. */
 const OBSERVE_MS = 200
 
 interface GranterMetrics {
@@ -21,11 +21,11 @@
 }
 
 export interface AskOptions {
-  /** Whether a peer has passed it on; it is not passed on again. */
+  /** Whether a peer forwarded the request. A forwarded request is not forwarded again. */
   isForwarded: boolean
 }
 
-/** The most requests that a cold endpoint may get within a second, over all boxes. */
+/** Returns the largest number of requests that all boxes together may send to a cold endpoint within a second. */
 export function coldBound ({ perSecond }: Pick<ColdLimit, 'perSecond'>, cold = { overrun: 1, slack: 0 }): number {
   return Math.floor(perSecond * cold.overrun + cold.slack)
 }
@@ -53,35 +53,35 @@
 
   addMetrics (registry: Registry): void {
     this.metrics = {
-      asks: counter(registry, 'gullwall_cold_asks_total', 'Wishes for cold endpoints that were decided here'),
+      asks: counter(registry, 'gullwall_cold_asks_total', 'Grant requests for cold endpoints that were decided here'),
       granted: counter(registry, 'gullwall_cold_granted_requests_total', 'Requests to cold endpoints that were granted here'),
-      refused: counter(registry, 'gullwall_cold_refusals_total', 'Wishes for cold endpoints that were not granted here')
+      refused: counter(registry, 'gullwall_cold_refusals_total', 'Grant requests for cold endpoints that were refused here')
     }
     const endpoints = gauge(registry, 'gullwall_cold_endpoints', 'Endpoints whose grants are counted here')
     Object.assign(endpoints, { collect: () => endpoints.set(this.duty.size) })
   }
 
   /**
-   * Decides an entry's wishes, here or at the leader.
+   * Decides the grant requests of an entry, here or at the leader.
    * @throws ERR_GULLWALL_NO_QUORUM, ERR_GULLWALL_NOT_LEADER, ERR_GULLWALL_LINK_CLOSED, ERR_GULLWALL_LINK_TIMEOUT
    */
   async answer (message: MessageOf<'coldAsk'>, { isForwarded }: AskOptions): Promise<MessageOf<'coldGranted'>> {
     if (this.services.quorum.role !== 'leader') {
       if (!isForwarded) return await this.services.proposer.askGrants(message)
-      throw new GullwallError('ERR_GULLWALL_NOT_LEADER', 'this process does not lead', { step: 'grant', hint: 'ask again' })
+      throw new GullwallError('ERR_GULLWALL_NOT_LEADER', 'this process does not lead', { step: 'grant', hint: 'repeat the request' })
     }
     const ledger = await this.duty.held()
     if (ledger === undefined) {
-      throw new GullwallError('ERR_GULLWALL_NO_QUORUM', 'this leader does not hold the lease', { step: 'grant', hint: 'ask again' })
+      throw new GullwallError('ERR_GULLWALL_NO_QUORUM', 'this leader does not hold the lease', { step: 'grant', hint: 'repeat the request' })
     }
     return { kind: 'coldGranted', grants: message.wishes.map((wish) => this.decide(ledger, wish, message.entry)) }
   }
 
   private decide (ledger: GrantLedger, wish: GrantWish, entry: string): Grant {
     const { incarnation, requests } = wish
-    const perSecond = this.limitHeld(wish)
-    const bounds = this.boundsOf(wish, perSecond)
-    const ask = { incarnation, box: entry, requests, bounds, word: this.wordOf(incarnation) }
+    const perSecond = this.findLimit(wish)
+    const bounds = this.findBounds(wish, perSecond)
+    const ask = { incarnation, box: entry, requests, bounds, word: this.findColdStatus(incarnation) }
     const grant = { ...ledger.grant(ask, performance.now()), perSecond }
     this.metrics?.asks.inc()
     if (grant.requests > 0) this.metrics?.granted.inc(grant.requests)
@@ -90,22 +90,22 @@
     return grant
   }
 
-  /** The limit that holds, in requests a second: the smaller of what the entry has heard and what was told here. */
-  private limitHeld ({ incarnation, perSecond }: GrantWish): number | undefined {
-    const told = this.services.leases.get(incarnation)?.limit?.perSecond
-    return perSecond === undefined || told === undefined ? perSecond ?? told : Math.min(perSecond, told)
+  /** Returns the limit in requests per second: the smaller of the limits that the entry and this process know. */
+  private findLimit ({ incarnation, perSecond }: GrantWish): number | undefined {
+    const known = this.services.leases.get(incarnation)?.limit?.perSecond
+    return perSecond === undefined || known === undefined ? perSecond ?? known : Math.min(perSecond, known)
   }
 
-  /** Every reason to bound an endpoint; none where it is granted nothing. */
-  private boundsOf ({ incarnation, service, isWarm }: GrantWish, perSecond: number | undefined): GrantBound[] {
+  /** Returns all bounds of an endpoint. An endpoint without bounds is granted nothing. */
+  private findBounds ({ incarnation, service, isWarm }: GrantWish, perSecond: number | undefined): GrantBound[] {
     const limit = perSecond === undefined ? undefined : limitGrantBound(perSecond)
     const isCold = isWarm !== true || (this.services.leases.get(incarnation)?.coldMs ?? 0) > 0
-    const coldLimit = isCold ? this.limitOf(service) : undefined
+    const coldLimit = isCold ? this.findColdLimit(service) : undefined
     const cold = coldLimit === undefined ? undefined : coldGrantBound(coldBound(coldLimit, this.services.settings.cold))
     return [limit, cold].filter((bound) => bound !== undefined)
   }
 
-  private wordOf (incarnation: string): LedgerAsk['word'] {
+  private findColdStatus (incarnation: string): LedgerAsk['word'] {
     const lease = this.services.leases.get(incarnation)
     return lease?.coldMs === undefined ? undefined : { heardAt: lease.heardAt, coldMs: lease.coldMs }
   }
@@ -113,16 +113,16 @@
   private log ({ entry, requests, bounds, grant }: { entry: string, requests: number, bounds: readonly GrantBound[], grant: Grant }): void {
     const { incarnation, withinMs } = grant
     const lease = this.services.leases.get(incarnation)
-    const word = lease === undefined ? 'not known here' : `word ${Math.round(performance.now() - lease.heardAt)} ms old, cold for ${lease.coldMs ?? '?'} ms then`
-    const what = grant.requests > 0 ? `${grant.requests} of ${requests} within ${withinMs} ms` : `none of ${requests}, ask again after ${withinMs} ms`
+    const status = lease === undefined ? 'no lease known' : `status ${Math.round(performance.now() - lease.heardAt)} ms old, cold for ${lease.coldMs ?? '?'} ms then`
+    const outcome = grant.requests > 0 ? `${grant.requests} of ${requests} within ${withinMs} ms` : `none of ${requests}, retry after ${withinMs} ms`
     const event = grant.requests > 0 ? 'granted' : 'not-granted'
     this.services.logger.sampled(event, {
-      channel: 'endpoint', event, endpoint: incarnation, why: `${what} to ${entry}; at most ${describeBounds(bounds)}; ${word}`
+      channel: 'endpoint', event, endpoint: incarnation, why: `${outcome} to ${entry}; at most ${describeBounds(bounds)}; ${status}`
     })
   }
 
-  /** What the document in force says of a service; read once for each version. */
-  private limitOf (service: string): ColdLimit | undefined {
+  /** Returns the cold limit of a service in the active document. Parses each version of the document once. */
+  private findColdLimit (service: string): ColdLimit | undefined {
     const { state, format } = this.services
     const stored = state.document
     if (stored === undefined) return undefined
--- a/control/program/src/index.ts
+++ b/control/program/src/index.ts
@@ -1,4 +1,4 @@
-/** The control process, put together from its services. */
+/** Assembles the control process from its services. */
 import { Kernel } from '@gullwall/core.kernel'
 import { newStartId } from '@gullwall/core.ids'
 import { createLogger, type Logger } from '@gullwall/core.logger'
@@ -36,7 +36,7 @@
 export * from './scaling-sink.ts'
 export * from './usage-sink.ts'
 
-/** How long a push to an entry waits for the entry to have the same from nearer by, in ms. */
+/** Delay of a push to an entry, in ms. In the meantime a control process that is closer to the entry may push the same revision. */
 const PUSH_DELAY_MS: Record<Turn, number> = { first: 0, second: 250, last: 600 }
 
 export interface ControlServices {
@@ -64,31 +64,31 @@
   server: ControlServer
   admin: ControlAdmin
   format: DocumentFormat
-  /** Makes the HTTP interface that another dialect of operators speaks, in place of the product's own. */
+  /** Creates an HTTP interface that replaces the default operators' interface; undefined for the default. */
   api: OperatorApi | undefined
   usageReporter: UsageReporter
-  /** Where usage is reported to; none where nobody asks for it. */
+  /** Receives usage reports; undefined if usage is not reported. */
   usageSink: UsageSink | undefined
   scalingOrderer: ScalingOrderer
-  /** Where endpoints are ordered; none where nobody takes orders. */
+  /** Receives orders of endpoints; undefined if endpoints are not ordered. */
   scalingSink: ScalingSink | undefined
 }
 
 export type OperatorApi = (services: ControlServices) => Koa
 
 export interface ControlOptions {
-  /** Where log lines go. */
+  /** Writes a log line. */
   write?: (line: string) => void
-  /** The data folder; the one of the settings unless a test or `dev` gives another. */
+  /** Replaces the data folder of the settings, for tests and `dev`. */
   disk?: Disk
   api?: OperatorApi
-  /** How the text of routing documents is read; the product's own unless an adapter brings another. */
+  /** Parses the text of routing documents. The default is the native format; an adapter may provide another one. */
   format?: DocumentFormat
   usageSink?: UsageSink
   scalingSink?: ScalingSink
 }
 
-/** Builds a control process; nothing runs before its kernel is started. */
+/** Builds a control process. Its services start when the kernel is started. */
 export async function createControl (settings: ControlSettings, options: ControlOptions = {}): Promise<Kernel<ControlServices>> {
   const disk = options.disk ?? await FolderDisk.open(settings.dataFolder)
   return new Kernel<ControlServices>()
@@ -132,7 +132,7 @@
   return state
 }
 
-/** Each entry is linked to every control process; those near it push first. */
+/** Returns the delay of a push. Each entry is linked to every control process, and the processes close to it push first. */
 function pushDelayMs (link: Link, { nearness }: ControlServices): number {
   return link.peer.role === 'entry' ? PUSH_DELAY_MS[nearness.turnFor(link)] : 0
 }
@@ -162,7 +162,7 @@
   })
 }
 
-/** Metrics, readiness and the state of the quorum. */
+/** Serves metrics, readiness and the state of the quorum. */
 export class ControlAdmin {
   address = ''
   private http: HttpServer | undefined
--- a/control/program/src/joiner.ts
+++ b/control/program/src/joiner.ts
@@ -1,4 +1,4 @@
-/** Makes a process that is not a member of the quorum a learner of it; the leader makes learners voters. */
+/** Adds this process to the quorum as a learner if it is not a member. The leader promotes learners to voters. */
 import { messageOf } from '@gullwall/core.error'
 import { ownLinkAddress } from './membership.ts'
 import { type ControlServices } from './index.ts'
@@ -9,12 +9,12 @@
 export class Joiner {
   private stopped = false
   private timer: NodeJS.Timeout | undefined
-  private toldWhy = ''
+  private lastReason = ''
 
   constructor (private readonly services: ControlServices) {}
 
   start (): void {
-    this.again()
+    this.scheduleNext()
   }
 
   stop (): void {
@@ -22,9 +22,9 @@
     clearTimeout(this.timer)
   }
 
-  private again (): void {
+  private scheduleNext (): void {
     if (this.stopped) return
-    this.timer = setTimeout(() => { void this.joinIfNeeded().finally(() => this.again()) }, RETRY_MS)
+    this.timer = setTimeout(() => { void this.joinIfNeeded().finally(() => this.scheduleNext()) }, RETRY_MS)
   }
 
   private async joinIfNeeded (): Promise<void> {
@@ -36,12 +36,12 @@
         await link.request(request, 'done', CALL_TIMEOUT_MS)
         return
       } catch (error) {
-        this.note(messageOf(error))
+        this.logFailure(messageOf(error))
       }
     }
   }
 
-  /** As far as this process knows; one that was removed while it was away learns so only from a leader. */
+  /** Whether this process is a member. A process that was removed while it was disconnected learns that only from a leader. */
   private get isMember (): boolean {
     const { quorum, settings } = this.services
     const { voters, learners } = quorum.membership
@@ -50,9 +50,9 @@
     return isListed && quorum.hasHeardFromLeader
   }
 
-  private note (why: string): void {
-    if (why === this.toldWhy) return
-    this.toldWhy = why
-    this.services.logger.info({ channel: 'quorum', event: 'member', term: this.services.quorum.vote.term, why: `not admitted yet: ${why}` })
+  private logFailure (reason: string): void {
+    if (reason === this.lastReason) return
+    this.lastReason = reason
+    this.services.logger.info({ channel: 'quorum', event: 'member', term: this.services.quorum.vote.term, why: `not admitted yet: ${reason}` })
   }
 }
--- a/control/program/src/lease-store.ts
+++ b/control/program/src/lease-store.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the leases on the disk, so that a control process knows the endpoints at once after a restart. Without it each
- * endpoint would be unknown until its next heartbeat, and after a loss of power everywhere all requests would go to those
- * few that happened to be heard first.
+ * Stores the leases on the disk, so that a control process knows the endpoints immediately after a restart. Without the file every
+ * endpoint would be unknown until its next heartbeat. After a total power failure all requests would then go to the few endpoints
+ * whose heartbeats arrive first.
  */
 import { z } from 'zod'
 import { readChecked, writeChecked } from '@gullwall/control.storage'
@@ -11,18 +11,18 @@
 import { PacedAction } from './paced-action.ts'
 
 const FILE = 'leases'
-/** The file is written after changes of state, so often at most, in ms; refreshed leases are not written. */
-const SAVE_SPACING_MS = 500
+/** Shortest interval between two writes of the file, in ms. Changes of state cause a write, refreshes of leases do not. */
+const SAVE_INTERVAL_MS = 500
 /**
- * A lease from the file holds for so long unless a heartbeat comes, in ms: two of the usual heartbeats. An endpoint that
- * began to leave just before the restart gets work for no longer than this.
+ * Validity of a restored lease without a heartbeat, in ms: two of the usual heartbeat intervals. It limits how long an endpoint that
+ * began to drain just before the restart gets new requests.
  */
-const RESTORED_MS = 2500
+const RESTORED_VALID_MS = 2500
 
 const fileSchema = z.array(leaseSchema)
 
 export class LeaseStore {
-  private readonly saving = new PacedAction(() => SAVE_SPACING_MS, () => { void this.save() })
+  private readonly saving = new PacedAction(() => SAVE_INTERVAL_MS, () => { void this.save() })
   private isSaving = false
   private isStopped = false
 
@@ -33,8 +33,8 @@
       const text = await readChecked(this.services.disk, FILE)
       if (text !== undefined) this.restore(fileSchema.parse(JSON.parse(text)))
     } catch (error) {
-      // Heartbeats tell all of it again.
-      this.log('the leases on the disk are not used', error)
+      // The next heartbeats contain the same leases.
+      this.log('the stored leases can\'t be restored', error)
     }
   }
 
@@ -43,14 +43,14 @@
     this.saving.stop()
   }
 
-  /** Notes that leases have changed. */
+  /** Requests a write because leases have changed. */
   changed (): void {
     if (!this.isStopped) this.saving.request()
   }
 
   private restore (leases: readonly Lease[]): void {
-    this.services.leases.restore(leases, RESTORED_MS)
-    this.services.logger.info({ channel: 'process', event: 'restored', why: `${leases.length} leases, for ${RESTORED_MS} ms unless heard` })
+    this.services.leases.restore(leases, RESTORED_VALID_MS)
+    this.services.logger.info({ channel: 'process', event: 'restored', why: `${leases.length} leases, valid for ${RESTORED_VALID_MS} ms without a heartbeat` })
   }
 
   private async save (): Promise<void> {
@@ -62,14 +62,14 @@
     try {
       await writeChecked(this.services.disk, FILE, JSON.stringify(this.services.leases.toWire()))
     } catch (error) {
-      this.log('the leases can\'t be written', error)
+      this.log('the leases can\'t be stored', error)
       this.changed()
     } finally {
       this.isSaving = false
     }
   }
 
-  private log (what: string, error: unknown): void {
-    this.services.logger.warn({ channel: 'process', event: 'failed', why: `${what}: ${messageOf(error)}` })
+  private log (failure: string, error: unknown): void {
+    this.services.logger.warn({ channel: 'process', event: 'failed', why: `${failure}: ${messageOf(error)}` })
   }
 }
--- a/control/program/src/main.ts
+++ b/control/program/src/main.ts
@@ -1,4 +1,4 @@
-/** `gullwall-control`: keeps the replicated state. */
+/** The `gullwall-control` program. It stores the replicated state. */
 import { command, option, run, string } from 'cmd-ts'
 import { assertRuntime, fail, runProgram } from '@gullwall/core.kernel/program'
 import { controlSettingsSchema, readSettings } from '@gullwall/config.settings'
--- a/control/program/src/member-table.ts
+++ b/control/program/src/member-table.ts
@@ -1,32 +1,32 @@
 /**
- * The sidecars that control knows: those linked to this process, and those that
- * its peers tell of. Soft state: it is built anew from the links after a restart.
+ * The sidecars that this control process knows: those linked to this process and those that its peers report. The table is not
+ * stored. After a restart it is rebuilt from the links.
  */
 import { type Member, type MessageOf } from '@gullwall/transport.messages'
 
 export type MemberChange = MessageOf<'members'>
 
-/** A sidecar whose link closed stays known for so long, since it may come back through a peer, in ms. */
-const LEASE_MS = 3000
+/** Time for which a sidecar stays known after its link closed, in ms. The sidecar may connect to a peer within this time. */
+const RECONNECT_TIMEOUT_MS = 3000
 
 export class MemberTable {
   private readonly local = new Map<string, Member>()
   private readonly remote = new Map<string, Map<string, Member>>()
-  private readonly leases = new Map<string, NodeJS.Timeout>()
+  private readonly timers = new Map<string, NodeJS.Timeout>()
   private readonly listeners: Array<(change: MemberChange) => void> = []
   private readonly localListeners: Array<(change: MemberChange) => void> = []
 
-  /** Calls back at each change of what is known by any way. */
+  /** Adds a listener for changes of all known sidecars. */
   onChange (listener: (change: MemberChange) => void): void {
     this.listeners.push(listener)
   }
 
-  /** Calls back at each change of what is linked here, for peers. */
+  /** Adds a listener for changes of the sidecars that are linked to this process. Peers receive these changes. */
   onLocalChange (listener: (change: MemberChange) => void): void {
     this.localListeners.push(listener)
   }
 
-  /** All sidecars known, by any way; what is linked here counts most. */
+  /** Returns all known sidecars. An entry of this process takes precedence over the entry of a peer. */
   all (): Member[] {
     const known = new Map<string, Member>()
     for (const members of this.remote.values()) {
@@ -40,27 +40,27 @@
     return [...this.local.values()]
   }
 
-  /** A linked sidecar says what it is. */
+  /** Adds or updates a sidecar that is linked to this process. */
   announce (member: Member): void {
-    clearTimeout(this.leases.get(member.address))
-    this.leases.delete(member.address)
+    clearTimeout(this.timers.get(member.address))
+    this.timers.delete(member.address)
     this.local.set(member.address, member)
     this.localChanged({ kind: 'members', whole: false, present: [member], gone: [] })
   }
 
-  /** The link of a sidecar has closed; it is forgotten when its lease ends. */
+  /** Starts the timeout after which a sidecar whose link closed is removed. */
   linkClosed (address: string): void {
     if (!this.local.has(address)) return
-    clearTimeout(this.leases.get(address))
+    clearTimeout(this.timers.get(address))
     const timer = setTimeout(() => {
-      this.leases.delete(address)
+      this.timers.delete(address)
       this.local.delete(address)
       this.localChanged({ kind: 'members', whole: false, present: [], gone: [address] })
-    }, LEASE_MS)
-    this.leases.set(address, timer)
+    }, RECONNECT_TIMEOUT_MS)
+    this.timers.set(address, timer)
   }
 
-  /** A peer tells of its sidecars. */
+  /** Applies the message of a peer about its sidecars. */
   learn (peer: string, message: MemberChange): void {
     const known = message.whole ? new Map<string, Member>() : this.remote.get(peer) ?? new Map<string, Member>()
     for (const member of message.present) known.set(member.address, member)
@@ -70,10 +70,10 @@
   }
 
   stop (): void {
-    for (const timer of this.leases.values()) clearTimeout(timer)
+    for (const timer of this.timers.values()) clearTimeout(timer)
   }
 
-  private isKnown (address: string): boolean {
+  private isMember (address: string): boolean {
     return this.local.has(address) || [...this.remote.values()].some((members) => members.has(address))
   }
 
@@ -82,9 +82,9 @@
     this.changed(change)
   }
 
-  /** What is gone here may have come back through a peer, and the other way round. */
+  /** Notifies the listeners. A sidecar is reported as gone only if neither this process nor a peer has a link to it. */
   private changed (change: MemberChange): void {
-    const gone = change.gone.filter((address) => !this.isKnown(address))
+    const gone = change.gone.filter((address) => !this.isMember(address))
     for (const listener of this.listeners) listener({ ...change, gone })
   }
 }
--- a/control/program/src/nearness.ts
+++ b/control/program/src/nearness.ts
@@ -1,13 +1,13 @@
 /**
- * Whose turn it is to tell an entry what is new. Each entry is linked to every control process; those near it tell it
- * first, so that a word crosses between data centres, and between regions, once and is passed on inside.
+ * Decides when a control process publishes a change to an entry. Each entry is linked to every control process. The processes close
+ * to it publish first, so that a change usually crosses between data centres, and between regions, only once.
  */
 import { Regions, type Distance } from '@gullwall/config.settings'
 import { rendezvousFirst } from '@gullwall/routing.balancer'
 import { type Link } from '@gullwall/transport.link'
 import { type ControlServices } from './index.ts'
 
-/** `first`: at once; `second`: if the entry has not heard by then; `last`: if its own region has not told it. */
+/** `first` publishes at once, `second` after a delay, `last` after a longer delay that gives the entry's own region precedence. */
 export type Turn = 'first' | 'second' | 'last'
 
 export class Nearness {
@@ -24,22 +24,22 @@
     return this.regions.distance(this.services.settings.dataCentre, link.peer.dataCentre)
   }
 
-  /** When this process tells an entry. */
+  /** Returns when this process publishes changes to an entry. */
   turnFor (entry: Link): Turn {
     const distance = this.distanceTo(entry)
     if (distance === 'same data centre') return 'first'
     if (this.regions.names.size < 2) return 'second'
     const { name, dataCentre } = entry.peer
-    const inRegion = this.controlsIn(this.regions.regionOf(dataCentre))
-    if (distance === 'other region') return inRegion.length > 0 ? 'last' : 'second'
-    if (inRegion.some((control) => control.dataCentre === dataCentre)) return 'second'
-    // Entries without a control process in their data centre are spread among those of their region.
-    const first = rendezvousFirst(name, inRegion, (control) => control.name)
+    const regionProcesses = this.controlProcessesIn(this.regions.regionOf(dataCentre))
+    if (distance === 'other region') return regionProcesses.length > 0 ? 'last' : 'second'
+    if (regionProcesses.some((control) => control.dataCentre === dataCentre)) return 'second'
+    // Entries without a control process in their data centre are distributed over the control processes of their region.
+    const first = rendezvousFirst(name, regionProcesses, (control) => control.name)
     return first?.name === this.services.settings.member ? 'first' : 'second'
   }
 
-  /** The control processes of a region that this one is linked to, itself included. */
-  private controlsIn (region: string): Array<{ name: string, dataCentre: string }> {
+  /** Returns the control processes of a region: this process if it belongs to the region, and those that it is linked to. */
+  private controlProcessesIn (region: string): Array<{ name: string, dataCentre: string }> {
     const { settings, peers } = this.services
     const self = { name: settings.member, dataCentre: settings.dataCentre }
     const others = peers.links().map(({ peer: { name, dataCentre } }) => ({ name, dataCentre }))
--- a/control/program/src/operator-api.ts
+++ b/control/program/src/operator-api.ts
@@ -1,4 +1,4 @@
-/** The HTTP interface for operators, on every control process. */
+/** The HTTP interface for operators. Every control process serves it. */
 import { createHash, timingSafeEqual } from 'node:crypto'
 import { type Context, type Next } from 'koa'
 import { z } from 'zod'
@@ -20,12 +20,12 @@
   changes: z.array(z.strictObject({ key: z.string(), value: z.string().nullable() })).min(1)
 })
 
-/** What an endpoint says in a heartbeat. */
+/** The body of an endpoint's heartbeat. */
 const heartbeatSchema = leaseSchema.omit({ incarnation: true, ageMs: true })
 
 const newMemberSchema = z.strictObject({ name: z.string().min(1), address: addressSchema })
 
-/** Errors that are the operator's to mend; all others mean that the change was not taken, or may not have been. */
+/** Status codes of errors that the operator must correct. After any other error the change may not have been accepted. */
 const STATUS_BY_CODE: Record<string, number> = {
   ERR_GULLWALL_BODY: 400,
   ERR_GULLWALL_MEMBER_EXISTS: 409,
@@ -33,7 +33,7 @@
   ERR_GULLWALL_NO_SUCH_MEMBER: 404,
   ERR_GULLWALL_LAST_VOTER: 409
 }
-const NOT_TAKEN_STATUS = 503
+const DEFAULT_ERROR_STATUS = 503
 
 export function createOperatorApi (services: ControlServices, inForce: () => Promise<MessageOf<'inForce'>['processes']>): Koa {
   const { proposer, store, state, quorum, members, settings } = services
@@ -54,8 +54,8 @@
     context.body = { quorum: quorum.status(), revision: store.revision, claims: state.claims.size, boxes: members.all(), evacuated }
   })
   router.post('/control/members', async (context) => {
-    const asked = checkValue(await readBody(context.req), newMemberSchema, { file: 'request' })
-    await asked.caseOf({
+    const parsed = checkValue(await readBody(context.req), newMemberSchema, { file: 'request' })
+    await parsed.caseOf({
       Left: async (mistakes) => badRequest(context, formatMistakes(mistakes)),
       Right: async ({ name, address }) => {
         await quorum.addMember(name, address)
@@ -93,9 +93,9 @@
 }
 
 async function applyOperation (context: Context, services: ControlServices): Promise<void> {
-  const asked = checkValue(await readBody(context.req), operationSchema, { file: 'request' })
+  const parsed = checkValue(await readBody(context.req), operationSchema, { file: 'request' })
     .chain((operation) => checkChanges(operation.changes).map(() => operation))
-  await asked.caseOf({
+  await parsed.caseOf({
     Left: async (mistakes) => badRequest(context, formatMistakes(mistakes)),
     Right: async (operation) => {
       const command: ApplyCommand = { type: 'apply', ...operation, at: new Date().toISOString() }
@@ -115,8 +115,8 @@
 }
 
 async function putLease (context: Context, { registrar }: ControlServices): Promise<void> {
-  const asked = checkValue(await readBody(context.req), heartbeatSchema, { file: 'heartbeat' })
-  await asked.caseOf({
+  const parsed = checkValue(await readBody(context.req), heartbeatSchema, { file: 'heartbeat' })
+  await parsed.caseOf({
     Left: async (mistakes) => badRequest(context, formatMistakes(mistakes)),
     Right: async (heartbeat) => {
       await registrar.hear({ ...heartbeat, incarnation: String(context.params['incarnation']), ageMs: 0 })
@@ -148,7 +148,7 @@
     await next()
   } catch (thrown) {
     const error = toGullwallError(thrown, { step: 'operator request' })
-    context.status = STATUS_BY_CODE[error.code] ?? NOT_TAKEN_STATUS
+    context.status = STATUS_BY_CODE[error.code] ?? DEFAULT_ERROR_STATUS
     context.body = { type: 'failed', code: error.code, message: error.message, step: error.step, peer: error.peer, hint: error.hint }
   }
 }
--- a/control/program/src/order-caller.ts
+++ b/control/program/src/order-caller.ts
@@ -1,16 +1,16 @@
-/** Whether the caller of an order still waits for its answer. One that has left has asked elsewhere. */
+/** Detects whether the caller of an order is still connected. A disconnected caller has sent the order to another process. */
 import { type ServerResponse } from 'node:http'
 import { setImmediate as nextTurn } from 'node:timers/promises'
 
 /**
- * The end of a connection that was held up arrives at most a round trip after the request on it, in ms: two ways between
- * regions of 8 ms and to a client of 3 ms make 22, doubled.
+ * Longest time between the arrival of a delayed request and the arrival of the end of its connection, in ms: twice a round trip of
+ * 22 ms, which consists of 8 ms between regions and 3 ms to the client in each direction.
  */
-const END_FOLLOWS_MS = 45
+const DISCONNECT_DELAY_MS = 45
 
 export interface OrderCaller {
   readonly hasLeft: boolean
-  /** Looks whether the caller left before the order was read; true if it has. */
+  /** Checks whether the caller disconnected before the order was read. */
   leftBefore: () => Promise<boolean>
 }
 
@@ -23,16 +23,16 @@
   }
 
   /**
-   * The bytes of an order that were held up on their way, or in a process that stood still, are read together with the end
-   * of their connection, or a round trip before it.
+   * Waits for a possible end of the connection. If an order was delayed by the network or by a suspended process, the end of its
+   * connection is read together with the order or within a round trip after it.
    */
   async leftBefore (): Promise<boolean> {
     await nextTurn()
     await nextTurn()
-    return this.hasLeft || await this.leavesWithin(END_FOLLOWS_MS)
+    return this.hasLeft || await this.disconnectsWithin(DISCONNECT_DELAY_MS)
   }
 
-  private async leavesWithin (ms: number): Promise<boolean> {
+  private async disconnectsWithin (ms: number): Promise<boolean> {
     const { response } = this
     const { socket } = response
     return await new Promise((resolve) => {
--- a/control/program/src/peers.ts
+++ b/control/program/src/peers.ts
@@ -1,4 +1,4 @@
-/** The links of a control process to its peers: requests of the quorum, forwarded commands, known sidecars. */
+/** The links of a control process to its peers. They carry requests of the quorum, forwarded commands and the known sidecars. */
 import { GullwallError } from '@gullwall/core.error'
 import { type QuorumTransport } from '@gullwall/control.quorum'
 import { type ControlSettings } from '@gullwall/config.settings'
@@ -8,9 +8,9 @@
 import { type ControlServices } from './index.ts'
 
 const MAX_BACKOFF_MS = 300
-/** How often links to members that are new are begun, in ms: a process that has just joined knows some of them only by the log. */
-const DIAL_MEMBERS_MS = 400
-/** A peer that is frozen or cut off is found sooner than other kinds of process, since it may lead. */
+/** Interval at which links to new members are opened, in ms. A process that has just joined knows some members only from the log. */
+const DIAL_INTERVAL_MS = 400
+/** Timing of links to peers. A frozen or disconnected peer is detected earlier than other processes, since it may be the leader. */
 const PEER_TIMING = { heartbeatMs: 1000, silenceMs: 2500, handshakeMs: 1000 }
 
 export class ControlPeers implements QuorumTransport {
@@ -22,18 +22,18 @@
   start (): void {
     const { settings, members } = this.services
     this.dialSeeds(settings)
-    this.timer = setInterval(() => this.dialAll(memberAddresses(this.services.quorum)), DIAL_MEMBERS_MS)
+    this.timer = setInterval(() => this.dialAll(memberAddresses(this.services.quorum)), DIAL_INTERVAL_MS)
     members.onLocalChange((change) => {
       for (const dialer of this.dialers.values()) dialer.link?.send(change)
     })
   }
 
-  /** Links to the control processes that settings name. */
+  /** Opens links to the control processes that the settings name. */
   dialSeeds (settings: ControlSettings): void {
     this.dialAll(seedAddresses(settings))
   }
 
-  /** Links to further control processes. */
+  /** Opens links to control processes that are not linked yet. */
   dialAll (addresses: readonly string[]): void {
     const self = ownLinkAddress(this.services.settings)
     for (const address of addresses) {
@@ -53,7 +53,7 @@
     return await link.request(message, expected, timeoutMs)
   }
 
-  /** The open links to peers. */
+  /** Returns the open links to peers. */
   links (): Link[] {
     return [...this.dialers.values()].flatMap((dialer) => dialer.link?.isOpen === true ? [dialer.link] : [])
   }
--- a/control/program/src/proposer.ts
+++ b/control/program/src/proposer.ts
@@ -1,4 +1,4 @@
-/** Brings commands to the leader, wherever it is, and gives their results. */
+/** Proposes commands to the replicated log, through the leader of the quorum, and returns their results. */
 import { GullwallError } from '@gullwall/core.error'
 import { type Applied } from '@gullwall/control.quorum'
 import {
@@ -15,24 +15,24 @@
 
 export class Proposer {
   private clockBase = 0
-  private wasComplete = false
+  private hadAllVoters = false
   private clockSetAt = performance.now()
 
   constructor (private readonly services: ControlServices) {}
 
   /**
-   * Has an operator's change accepted or refused.
+   * Proposes an operator's change, which is accepted or refused.
    * @throws ERR_GULLWALL_NOT_LEADER, ERR_GULLWALL_OUTCOME_UNKNOWN, ERR_GULLWALL_LINK_CLOSED
    */
   async apply (command: ApplyCommand): Promise<ApplyResult> {
     return JSON.parse((await this.propose(command)).result) as ApplyResult
   }
 
-  /** Brings a routing document. */
+  /** Proposes a routing document. */
   async document (command: DocumentCommand): Promise<DocumentResult> {
     const result = JSON.parse((await this.propose(command)).result) as DocumentResult
     const event = result.taken ? 'accepted' : 'ignored'
-    const why = `document version ${command.version}; ${result.version} holds`
+    const why = `document version ${command.version}; version ${result.version} is active`
     this.services.logger.info({ channel: 'configuration', event, revision: this.services.store.revision, why })
     return result
   }
@@ -40,7 +40,7 @@
   async claim (message: MessageOf<'claim'>): Promise<MessageOf<'claimed'>> {
     const { key, requestId, holdMs } = message
     if (!this.leadsHere) return await this.forward(message, 'claimed')
-    const applied = await this.propose({ type: 'claim', key, requestId, holdMs, now: this.logTime() })
+    const applied = await this.propose({ type: 'claim', key, requestId, holdMs, now: this.nextLogTime() })
     return { kind: 'claimed', ...JSON.parse(applied.result) as ClaimResult }
   }
 
@@ -50,12 +50,12 @@
     return { kind: 'done' }
   }
 
-  /** Brings an order to evacuate a data centre, or to withdraw that. */
+  /** Proposes to evacuate a data centre or to withdraw an evacuation. */
   async evacuate (command: EvacuateCommand): Promise<EvacuationResult> {
     return JSON.parse((await this.propose(command)).result) as EvacuationResult
   }
 
-  /** Has the report of a window decided; gives the one that holds. */
+  /** Proposes the usage report of a window. Returns the report that was decided, which may be an earlier one. */
   async decideUsage (command: DecideUsageCommand): Promise<UsageReport> {
     return JSON.parse((await this.propose(command)).result) as UsageReport
   }
@@ -64,17 +64,17 @@
     await this.propose(command)
   }
 
-  /** Has an order of endpoints decided; gives the one that holds. */
+  /** Proposes a number of endpoints. Returns the order that was decided, which may be another one. */
   async decideScaling (command: DecideScalingCommand): Promise<ScalingResult> {
     return JSON.parse((await this.propose(command)).result) as ScalingResult
   }
 
-  /** Brings what is known of crashed endpoints, or has it judged or forgotten; gives the requests that are held or let go by it. */
+  /** Proposes to record, evaluate or remove crashes of endpoints. Returns the requests that are quarantined or released as a result. */
   async quarantine (command: NoteCrashesCommand | JudgeCrashesCommand | ForgetCrashesCommand): Promise<QuarantineResult> {
     return JSON.parse((await this.propose(command)).result) as QuarantineResult
   }
 
-  /** Gives a revision that is not older than any accepted before the call. */
+  /** Returns a revision that is at least as new as every revision accepted before the call. */
   async confirm (): Promise<MessageOf<'confirmed'>> {
     const { quorum, store } = this.services
     if (!this.leadsHere) return await this.forward({ kind: 'confirm' }, 'confirmed')
@@ -82,33 +82,33 @@
     return { kind: 'confirmed', revision: store.revision }
   }
 
-  /** Passes an entry's wishes for cold endpoints to the leader, which alone grants. */
+  /** Forwards the grant requests of an entry to the leader, the only process that grants. */
   async askGrants (message: MessageOf<'coldAsk'>): Promise<MessageOf<'coldGranted'>> {
     return await this.forward(message, 'coldGranted')
   }
 
-  /** Takes a command that a peer has forwarded. */
+  /** Proposes a command that a peer has forwarded. */
   async proposeHere (data: string): Promise<Applied> {
     this.assertTolerance()
     return await this.services.quorum.propose(data)
   }
 
-  /** A quorum that is still being formed could not bear the losses that it is meant to bear. */
+  /** Rejects commands while the quorum has too few voters for the intended fault tolerance. */
   private assertTolerance (): void {
     const { settings, quorum } = this.services
     const voters = Object.keys(quorum.membership.voters).length
-    const wanted = targetVoters(settings) ?? 0
-    if (voters > wanted / 2 && voters >= this.leastVoters(wanted)) return
-    throw new GullwallError('ERR_GULLWALL_NO_QUORUM', `${voters} voters of ${wanted}`, {
+    const required = targetVoters(settings) ?? 0
+    if (voters > required / 2 && voters >= this.findMinVoters(required)) return
+    throw new GullwallError('ERR_GULLWALL_NO_QUORUM', `${voters} of ${required} voters have joined`, {
       step: 'propose', hint: 'wait until the other control processes have joined'
     })
   }
 
-  /** Once all voters had joined, one may be missing while it is replaced. */
-  private leastVoters (wanted: number): number {
+  /** Returns the required number of voters. Once all voters have joined, one may be missing while it is replaced. */
+  private findMinVoters (required: number): number {
     const { quorum } = this.services
-    if (Object.keys(quorum.membership.voters).length >= wanted) this.wasComplete = true
-    return this.wasComplete ? wanted - 1 : wanted
+    if (Object.keys(quorum.membership.voters).length >= required) this.hadAllVoters = true
+    return this.hadAllVoters ? required - 1 : required
   }
 
   private get leadsHere (): boolean {
@@ -136,8 +136,8 @@
     return await peers.call(address, message, expected, FORWARD_TIMEOUT_MS)
   }
 
-  /** Time of the log: goes on from the latest command by the monotonic clock, whatever the wall clock does. */
-  private logTime (): number {
+  /** Returns the next log time. It advances from the latest command by the monotonic clock and does not depend on the wall clock. */
+  private nextLogTime (): number {
     const now = performance.now()
     const latest = this.services.state.claims.time
     const time = Math.max(latest, Math.floor(this.clockBase + now - this.clockSetAt))
--- a/control/program/src/read-body.ts
+++ b/control/program/src/read-body.ts
@@ -4,7 +4,7 @@
 
 const MAX_BYTES = 16 * 1024 * 1024
 
-/** @throws ERR_GULLWALL_BODY if it is too large or not JSON */
+/** @throws ERR_GULLWALL_BODY if the body is too large or not JSON */
 export async function readBody (request: IncomingMessage): Promise<unknown> {
   const chunks: Buffer[] = []
   let bytes = 0
--- a/control/program/src/registrar.ts
+++ b/control/program/src/registrar.ts
@@ -1,7 +1,6 @@
 /**
- * Takes the heartbeats of endpoints. A heartbeat that says an endpoint leaves is
- * acknowledged only once a majority of control processes knows it: whatever
- * entry is linked to any of them is then told, also when this process is cut off.
+ * Receives the heartbeats of endpoints. A heartbeat with the state `draining` or `gone` is acknowledged only after a majority of
+ * control processes has stored it. Entries that are linked to any of them then receive the state, even if this process is cut off.
  */
 import { GullwallError } from '@gullwall/core.error'
 import { gauge, type Registry } from '@gullwall/core.metrics'
@@ -12,141 +11,143 @@
 import { type Turn } from './nearness.ts'
 import { PacedAction } from './paced-action.ts'
 
-/** Refreshed leases are passed on together, so often, in ms. */
-const REFRESH_MS = 3000
+/** Interval at which refreshed leases are published together, in ms. */
+const REFRESH_INTERVAL_MS = 3000
 /**
- * Changed leases go to the entries near here together, so often at most, in ms; the first after a pause goes at once. After
- * everything was dark each endpoint is news within a second or so, and each control process tells each of them.
+ * Shortest interval between publications of changed leases to nearby entries, in ms. The first change after a pause is published at
+ * once. Changes are batched because all endpoints change within about a second after a total outage.
  */
-const CHANGES_NEAR_MS = 20
-/** The same for the entries that hear from a process nearer to them unless that is cut off. */
-const CHANGES_FAR_MS = 200
-/** And for those of other regions. What has changed is still told there: a word that an endpoint leaves must not get lost. */
-const CHANGES_FARTHEST_MS = 1000
-/** Other entries hear of refreshes from a process near them; every so many rounds from here too. */
-const ROUNDS_TO_ALL = 3
-/** An endpoint gives up on an answer after a second. */
+const NEAR_INTERVAL_MS = 20
+/** The same interval for entries that usually receive changes earlier from a control process that is closer to them, in ms. */
+const FAR_INTERVAL_MS = 200
+/** The same interval for entries of other regions, in ms. They also receive all changes, so that no `draining` or `gone` is lost. */
+const FARTHEST_INTERVAL_MS = 1000
+/** Refreshed leases go to nearby entries in each round. Every time after this number of rounds they go to all entries. */
+const ROUNDS_PER_FULL_REFRESH = 3
+/** Timeout of the confirmation by a majority, in ms. It is shorter than the second that an endpoint waits for the response. */
 const CONFIRM_TIMEOUT_MS = 800
 
-/** Characters of a word that could not be understood which are logged, and of its endpoint's name. */
-const MAX_LOGGED = 200
+/** Largest number of characters of an invalid report, and of the name of its endpoint, that are logged. */
+const MAX_LOGGED_LENGTH = 200
 
-/** Stands for what this process does not know of an endpoint that it is told is gone. */
+/** Replaces the lease of an unknown endpoint that is reported as gone. */
 const UNKNOWN_LEASE = { service: '', address: '', dataCentre: '', slots: 0, sequence: 0 }
 
 export class Registrar {
   private readonly refreshed = new Set<string>()
   private timer: NodeJS.Timeout | undefined
   private rounds = 0
-  /** Words that could not be understood, since the start. */
-  private refusals = 0
-  private readonly untoldNear = new Set<string>()
-  private readonly untoldFar = new Set<string>()
-  private readonly untoldFarthest = new Set<string>()
-  private readonly tellingNear = new PacedAction(() => CHANGES_NEAR_MS, () => this.tell('first', drain(this.untoldNear)))
-  private readonly tellingFar = new PacedAction(() => CHANGES_FAR_MS, () => this.tell('second', drain(this.untoldFar)))
-  private readonly tellingFarthest = new PacedAction(() => CHANGES_FARTHEST_MS, () => this.tell('last', drain(this.untoldFarthest)))
+  /** Number of invalid reports since the start. */
+  private invalidReports = 0
+  private readonly pendingNear = new Set<string>()
+  private readonly pendingFar = new Set<string>()
+  private readonly pendingFarthest = new Set<string>()
+  private readonly publishingNear = new PacedAction(() => NEAR_INTERVAL_MS, () => this.publish('first', drain(this.pendingNear)))
+  private readonly publishingFar = new PacedAction(() => FAR_INTERVAL_MS, () => this.publish('second', drain(this.pendingFar)))
+  private readonly publishingFarthest = new PacedAction(() => FARTHEST_INTERVAL_MS, () => this.publish('last', drain(this.pendingFarthest)))
 
   constructor (private readonly services: ControlServices) {}
 
   start (): void {
-    this.timer = setInterval(() => this.passRefreshes(), REFRESH_MS)
+    this.timer = setInterval(() => this.publishRefreshes(), REFRESH_INTERVAL_MS)
   }
 
   stop (): void {
     clearInterval(this.timer)
-    this.tellingNear.stop()
-    this.tellingFar.stop()
-    this.tellingFarthest.stop()
+    this.publishingNear.stop()
+    this.publishingFar.stop()
+    this.publishingFarthest.stop()
   }
 
   /**
-   * Takes one heartbeat.
-   * @throws ERR_GULLWALL_NO_QUORUM if the endpoint leaves and no majority could be told in time
+   * Receives one heartbeat.
+   * @throws ERR_GULLWALL_NO_QUORUM if the endpoint is not ready and no majority confirms that state in time
    */
   async hear (lease: Lease): Promise<void> {
     const { leases } = this.services
     const [merged] = leases.merge([lease])
     if (lease.state !== 'ready') {
-      await this.confirmLeaving(lease.incarnation)
+      await this.confirmByMajority(lease.incarnation)
     } else if (merged === 'changed') {
-      this.tellPeers([lease.incarnation])
+      this.publishToPeers([lease.incarnation])
     } else if (merged === 'refreshed') {
       this.refreshed.add(lease.incarnation)
     }
   }
 
-  /** Takes an entry's word of endpoints that said in an answer that they drain. */
+  /** Receives from an entry the endpoints that announced in a response that they are draining. */
   hearDraining (incarnations: readonly string[]): void {
-    const news = incarnations.filter((incarnation) => this.services.leases.noteDraining(incarnation))
-    if (news.length > 0) this.tellPeers(news)
+    const changes = incarnations.filter((incarnation) => this.services.leases.noteDraining(incarnation))
+    if (changes.length > 0) this.publishToPeers(changes)
   }
 
-  /** Takes an entry's word of what endpoints have said of their limits. */
-  hearLimits (words: MessageOf<'limits'>['limits']): void {
+  /** Receives from an entry the limits that endpoints advertised. */
+  hearLimits (limits: MessageOf<'limits'>['limits']): void {
     const { leases } = this.services
     const now = performance.now()
-    const news = words.filter((word) => leases.noteLimit(word.incarnation, limitFromWire(word, now))).map(({ incarnation }) => incarnation)
-    if (news.length === 0) return
-    this.tellPeers(news)
-    this.changed(news.flatMap((incarnation) => leases.get(incarnation) ?? []))
+    const changes = limits
+      .filter((limit) => leases.noteLimit(limit.incarnation, limitFromWire(limit, now)))
+      .map(({ incarnation }) => incarnation)
+    if (changes.length === 0) return
+    this.publishToPeers(changes)
+    this.changed(changes.flatMap((incarnation) => leases.get(incarnation) ?? []))
   }
 
   /**
-   * Takes word that an endpoint is gone, also of one that is not known here: its heartbeats may still arrive. Without a time
-   * of birth its latest life is meant.
+   * Marks an endpoint as gone. This includes an unknown endpoint, since its heartbeats may still arrive. Without the start time
+   * `born` the latest incarnation of the endpoint is marked.
    */
   async leave (name: string, born?: number): Promise<void> {
     const { leases } = this.services
-    const meant = lifeOf(name, born)
-    const known = leases.get(born === undefined ? leases.incarnationOf(name) : meant.incarnation)
+    const requested = lifeOf(name, born)
+    const known = leases.get(born === undefined ? leases.incarnationOf(name) : requested.incarnation)
     const { service, address, dataCentre, slots, sequence } = known ?? UNKNOWN_LEASE
-    const { incarnation, life } = known ?? meant
+    const { incarnation, life } = known ?? requested
     await this.hear({ incarnation, life, service, address, dataCentre, slots, sequence: sequence + 1, state: 'gone', ageMs: 0 })
   }
 
-  /** Notes a word about an endpoint that could not be understood, from whoever wrote it; it changes nothing. */
-  refused (name: string, why: string): void {
-    this.refusals += 1
-    this.services.logger.sampled('word refused', {
-      channel: 'endpoint', event: 'refused', endpoint: name.slice(0, MAX_LOGGED), why: `${why.slice(0, MAX_LOGGED)}; ${this.refusals} since the start`
+  /** Counts and logs an invalid report about an endpoint. The report has no other effect. */
+  refused (name: string, reason: string): void {
+    this.invalidReports += 1
+    this.services.logger.sampled('invalid endpoint report', {
+      channel: 'endpoint', event: 'refused', endpoint: name.slice(0, MAX_LOGGED_LENGTH), why: `${reason.slice(0, MAX_LOGGED_LENGTH)}; ${this.invalidReports} invalid reports since the start`
     })
   }
 
-  /** Adds the figures of this process to a registry. */
+  /** Adds the metrics of this process to a registry. */
   addMetrics (registry: Registry): void {
-    const refusals = gauge(registry, 'gullwall_endpoint_words_refused_total', 'Words about endpoints that could not be understood')
-    Object.assign(refusals, { collect: () => refusals.set(this.refusals) })
+    const invalidReports = gauge(registry, 'gullwall_endpoint_words_refused_total', 'Invalid reports about endpoints')
+    Object.assign(invalidReports, { collect: () => invalidReports.set(this.invalidReports) })
   }
 
-  /** Passes changes on to the entries linked here. */
+  /** Publishes changed leases to the linked entries. */
   changed (changed: readonly HeldLease[]): void {
     for (const { incarnation } of changed) {
-      this.untoldNear.add(incarnation)
-      this.untoldFar.add(incarnation)
-      this.untoldFarthest.add(incarnation)
+      this.pendingNear.add(incarnation)
+      this.pendingFar.add(incarnation)
+      this.pendingFarthest.add(incarnation)
     }
-    this.tellingNear.request()
-    this.tellingFar.request()
-    this.tellingFarthest.request()
+    this.publishingNear.request()
+    this.publishingFar.request()
+    this.publishingFarthest.request()
   }
 
-  /** Takes leases that a peer has told; those that are merely refreshed go on to the entries near here. */
-  learn (told: readonly Lease[]): void {
+  /** Receives leases from a peer. Leases that are only refreshed are published to nearby entries. */
+  learn (received: readonly Lease[]): void {
     const { leases } = this.services
-    const outcomes = leases.merge(told)
-    this.tell('first', told.filter((_lease, index) => outcomes[index] === 'refreshed').map(({ incarnation }) => incarnation))
+    const outcomes = leases.merge(received)
+    this.publish('first', received.filter((_lease, index) => outcomes[index] === 'refreshed').map(({ incarnation }) => incarnation))
   }
 
-  /** Tells the entries whose turn it is. */
-  private tell (turn: Turn, incarnations: readonly string[]): void {
-    this.tellEntries(incarnations, (link) => this.services.nearness.turnFor(link) === turn)
+  /** Publishes leases to the linked entries that have a given turn. */
+  private publish (turn: Turn, incarnations: readonly string[]): void {
+    this.publishToEntries(incarnations, (link) => this.services.nearness.turnFor(link) === turn)
   }
 
-  private tellEntries (incarnations: readonly string[], isMeant: (link: Link) => boolean): void {
+  private publishToEntries (incarnations: readonly string[], isIncluded: (link: Link) => boolean): void {
     if (incarnations.length === 0) return
     const message = { kind: 'leases', leases: this.wire(incarnations) } as const
-    this.services.server.toEntries((link) => { if (isMeant(link)) link.send(message) })
+    this.services.server.toEntries((link) => { if (isIncluded(link)) link.send(message) })
   }
 
   private wire (incarnations: Iterable<string>): Lease[] {
@@ -154,12 +155,12 @@
     return leases.toWire([...incarnations].flatMap((incarnation) => leases.get(incarnation) ?? []))
   }
 
-  /** Tells all leases on a link that has just opened. */
+  /** Sends all leases on a link that has just opened. */
   tellAll (link: Link): void {
     link.send({ kind: 'leases', leases: this.services.leases.toWire() })
   }
 
-  private async confirmLeaving (incarnation: string): Promise<void> {
+  private async confirmByMajority (incarnation: string): Promise<void> {
     const { quorum, leases, peers } = this.services
     const lease = leases.get(incarnation)
     const message = { kind: 'leases', leases: leases.toWire(lease === undefined ? [] : [lease]) } as const
@@ -167,47 +168,47 @@
     const others = Object.entries(voters).filter(([name]) => name !== quorum.name)
     const needed = Math.floor(Object.keys(voters).length / 2) + 1
     const self = voters[quorum.name] === undefined ? 0 : 1
-    const told = others.map(async ([, member]) => await peers.call(member.address, message, 'done', CONFIRM_TIMEOUT_MS))
-    if (Object.keys(voters).length > 0 && await atLeast(told, needed - self)) return
-    throw new GullwallError('ERR_GULLWALL_NO_QUORUM', 'a majority of control processes could not be told in time', { step: 'leave', peer: incarnation })
+    const confirmations = others.map(async ([, member]) => await peers.call(member.address, message, 'done', CONFIRM_TIMEOUT_MS))
+    if (Object.keys(voters).length > 0 && await haveSucceeded(confirmations, needed - self)) return
+    throw new GullwallError('ERR_GULLWALL_NO_QUORUM', 'no majority of control processes confirmed the state in time', { step: 'leave', peer: incarnation })
   }
 
-  private tellPeers (incarnations: readonly string[]): void {
+  private publishToPeers (incarnations: readonly string[]): void {
     const message = { kind: 'leases', leases: this.wire(incarnations) } as const
     for (const link of this.services.peers.links()) link.send(message)
   }
 
-  private passRefreshes (): void {
+  private publishRefreshes (): void {
     if (this.refreshed.size === 0) return
     const incarnations = [...this.refreshed]
     this.refreshed.clear()
     this.rounds += 1
-    this.tellPeers(incarnations)
-    const isForAll = this.rounds % ROUNDS_TO_ALL === 0
-    this.tellEntries(incarnations, (link) => isForAll || this.services.nearness.turnFor(link) === 'first')
+    this.publishToPeers(incarnations)
+    const isFullRefresh = this.rounds % ROUNDS_PER_FULL_REFRESH === 0
+    this.publishToEntries(incarnations, (link) => isFullRefresh || this.services.nearness.turnFor(link) === 'first')
   }
 }
 
-/** Empties a set and gives what was in it. */
+/** Empties a set and returns its former members. */
 function drain (set: Set<string>): string[] {
   const members = [...set]
   set.clear()
   return members
 }
 
-/** True as soon as enough of the calls have succeeded, false once they no longer can. */
-async function atLeast (calls: Array<Promise<unknown>>, needed: number): Promise<boolean> {
+/** Resolves to true as soon as `needed` calls have succeeded, and to false as soon as that is no longer possible. */
+async function haveSucceeded (calls: Array<Promise<unknown>>, needed: number): Promise<boolean> {
   if (needed <= 0) return true
   return await new Promise((resolve) => {
     let succeeded = 0
-    let open = calls.length
+    let pending = calls.length
     const settle = (ok: boolean) => {
-      open -= 1
+      pending -= 1
       if (ok) succeeded += 1
       if (succeeded >= needed) resolve(true)
-      else if (succeeded + open < needed) resolve(false)
+      else if (succeeded + pending < needed) resolve(false)
     }
-    if (open < needed) resolve(false)
+    if (pending < needed) resolve(false)
     for (const call of calls) call.then(() => settle(true), () => settle(false))
   })
 }
--- a/control/program/src/work-relay.ts
+++ b/control/program/src/work-relay.ts
@@ -1,7 +1,7 @@
 /**
- * Tells each entry what all others have under way. An entry tells one control process and hears from that one; control
- * processes tell each other the sums of their entries. What an entry sends and hears is bounded by its own work and by the
- * endpoints that have any, at any number of entries.
+ * Sends each entry the load summaries of all other entries. An entry exchanges load summaries with one control process, and control
+ * processes send each other the sums over their entries. The traffic of an entry therefore depends on its own load and on the number
+ * of loaded endpoints, but not on the number of entries.
  */
 import { ReadingTable, WorkloadTable } from '@gullwall/control.workload'
 import { type Link } from '@gullwall/transport.link'
@@ -10,241 +10,243 @@
 import { PacedAction } from './paced-action.ts'
 
 /**
- * Changes that arrive within this time for each entry are told together, in ms; the first after a pause is told at once. An
- * entry then hears no more words than the others tell, and a few entries hear of each other almost at once.
+ * Publishing interval for each entry of the deployment, in ms. Changes within the interval are published together, and the first
+ * change after a pause is published at once. An entry receives no more messages than the other entries send, and with few entries
+ * the delay is short.
  */
-const SPACING_PER_ENTRY_MS = 2.5
-/** With many entries the time grows no further: an entry hears 25 words a second at most. */
-const MAX_SPACING_MS = 40
-/** An entry that has told nothing for so long has nothing under way any more, and is told nothing, in ms. */
-const ENTRY_VALID_MS = 2500
-/** A peer that was not heard for so long is taken to be cut off, in ms: one repeated word may be missing. */
-const PEER_VALID_MS = 2200
-/** Entries and peers hear something at least so often, and so know that what they were told still holds, in ms. */
-const REPEAT_MS = 1000
+const INTERVAL_PER_ENTRY_MS = 2.5
+/** Longest publishing interval, in ms. It limits an entry to 25 received messages per second. */
+const MAX_INTERVAL_MS = 40
+/** An entry that has sent nothing for this time is removed, in ms. Its load is no longer counted, and it receives nothing. */
+const ENTRY_TIMEOUT_MS = 2500
+/** A peer that has sent nothing for this time counts as disconnected, in ms. The time allows for one missing repeat. */
+const PEER_TIMEOUT_MS = 2200
+/** Longest time without a message to an entry or a peer, in ms. An empty message confirms that the last load summaries are valid. */
+const REPEAT_INTERVAL_MS = 1000
 /**
- * Peers in other regions are told so often at most, in ms: their entries choose engines of this region only once their own
- * have no room, and the link between regions is narrow.
+ * Shortest publishing interval for peers in other regions, in ms. Their entries use endpoints of this region only when their own
+ * endpoints have no capacity, and the bandwidth between regions is low.
  */
-const FARTHER_SPACING_MS = 250
-/** What was learnt of how engines read is told so often at most, in ms. */
-const READINGS_MS = 250
+const OTHER_REGION_INTERVAL_MS = 250
+/** Shortest publishing interval for readings, in ms. A reading contains the observed reading speed, pauses and failures of an endpoint. */
+const READINGS_INTERVAL_MS = 250
 
-interface ListeningEntry {
-  heardAt: number
-  toldAt: number
+interface LinkedEntry {
+  receivedAt: number
+  sentAt: number
 }
 
-/** A holding and the link that told of it, which need not hear of it again. */
-interface UntoldHolding {
+/** A holding that is not published yet. It is not sent back to the link that it came from. */
+interface PendingHolding {
   holding: Holding
   from: Link
 }
 
-/** What has come since the last word: endpoints at which something changed, with those who told of it, and holdings. */
-interface News {
+/** Changes since the last publication. */
+interface PendingChanges {
+  /** The endpoints whose load changed, each with the sources of the changes. */
   changed: Map<string, Set<Link>>
-  untold: UntoldHolding[]
+  pendingHoldings: PendingHolding[]
 }
 
-const noNews = (): News => ({ changed: new Map(), untold: [] })
+const noChanges = (): PendingChanges => ({ changed: new Map(), pendingHoldings: [] })
 
-/** Which sources a sum is of. */
-type Counts = (source: Link) => boolean
+/** Selects the sources that a sum includes. */
+type SourceFilter = (source: Link) => boolean
 
-/** All that is known to be under way. */
+/** The load of the whole deployment as this process knows it. */
 export interface AllWork {
   works: WorkSummary[]
   readings: Reading[]
-  /** Peers that were heard lately. */
+  /** Number of peers that sent a message recently. */
   peersHeard: number
 }
 
 export class WorkRelay {
   private readonly table = new WorkloadTable<Link>()
-  /** The entries that tell this process, by their links. */
-  private readonly entries = new Map<Link, ListeningEntry>()
-  /** When each peer was last heard, by the links that the peers keep. */
-  private readonly peerHeardAt = new Map<Link, number>()
-  /** What was not told yet. */
-  private news = noNews()
-  /** What was not told to other regions yet. */
-  private farNews = noNews()
-  private readonly telling = new PacedAction(() => this.spacingMs, () => this.tell())
-  private readonly tellingFar = new PacedAction(() => FARTHER_SPACING_MS, () => this.tellFar())
+  /** The entries that send their load to this process, by link. */
+  private readonly entries = new Map<Link, LinkedEntry>()
+  /** Time of the last message of each peer, by the link that the peer opened. */
+  private readonly peerReceivedAt = new Map<Link, number>()
+  /** Changes to publish to entries and to the peers of this region. */
+  private pending = noChanges()
+  /** Changes to publish to the peers of other regions. */
+  private otherRegionPending = noChanges()
+  private readonly publishing = new PacedAction(() => this.intervalMs, () => this.publish())
+  private readonly publishingToOtherRegions = new PacedAction(() => OTHER_REGION_INTERVAL_MS, () => this.publishToOtherRegions())
   private readonly readings = new ReadingTable()
-  private readonly tellingReadings = new PacedAction(() => READINGS_MS, () => this.tellReadings())
+  private readonly publishingReadings = new PacedAction(() => READINGS_INTERVAL_MS, () => this.publishReadings())
   private repeatTimer: NodeJS.Timeout | undefined
 
   constructor (private readonly services: Pick<ControlServices, 'peers' | 'nearness'>) {}
 
   start (): void {
-    this.repeatTimer = setInterval(() => this.repeat(), REPEAT_MS)
+    this.repeatTimer = setInterval(() => this.sendRepeats(), REPEAT_INTERVAL_MS)
   }
 
   stop (): void {
     clearInterval(this.repeatTimer)
-    this.telling.stop()
-    this.tellingFar.stop()
-    this.tellingReadings.stop()
+    this.publishing.stop()
+    this.publishingToOtherRegions.stop()
+    this.publishingReadings.stop()
   }
 
-  /** What all entries have under way, as far as it was told here. */
+  /** Returns the load of all entries as this process knows it. */
   everything (): AllWork {
-    return { works: this.wholeOf(() => true).works, readings: this.readings.all(performance.now()), peersHeard: this.peersHeard }
+    return { works: this.createSnapshot(() => true).works, readings: this.readings.all(performance.now()), peersHeard: this.peersHeard }
   }
 
-  /** Takes what an entry has under way. */
+  /** Receives the load summaries of an entry. */
   fromEntry (link: Link, { works, holdings, observations, listens }: MessageOf<'work'>): void {
     if (!listens) {
-      this.forgetEntry(link)
+      this.removeEntry(link)
       return
     }
     const now = performance.now()
     const known = this.entries.get(link)
-    if (known === undefined) this.welcome(link, now)
-    else known.heardAt = now
-    this.note(link, this.table.replace(link, works))
-    this.noteHoldings(link, holdings)
+    if (known === undefined) this.addEntry(link, now)
+    else known.receivedAt = now
+    this.recordChanges(link, this.table.replace(link, works))
+    this.recordHoldings(link, holdings)
     this.readings.learn(observations, now)
-    if (observations.length > 0) this.tellingReadings.request()
+    if (observations.length > 0) this.publishingReadings.request()
   }
 
-  /** Takes the sums of a peer's entries. */
+  /** Receives the sums over the entries of a peer. */
   fromPeer (link: Link, { whole, works, holdings }: MessageOf<'workSums'>): void {
-    this.peerHeardAt.set(link, performance.now())
-    this.note(link, whole ? this.table.replace(link, works) : this.table.update(link, works))
-    this.noteHoldings(link, holdings)
+    this.peerReceivedAt.set(link, performance.now())
+    this.recordChanges(link, whole ? this.table.replace(link, works) : this.table.update(link, works))
+    this.recordHoldings(link, holdings)
   }
 
-  /** Gives a peer whose link has just opened the sums of the entries here. */
+  /** Sends the sums over the entries of this process to a peer whose link has just opened. */
   tellWhole (peer: Link): void {
-    peer.send(this.wholeOf(isEntry))
+    peer.send(this.createSnapshot(isEntry))
   }
 
-  /** Forgets what came over a link that has closed. */
+  /** Removes the load that was received over a link that has closed. */
   closed (link: Link): void {
-    this.peerHeardAt.delete(link)
-    if (this.entries.has(link)) this.forgetEntry(link)
-    else this.note(link, this.table.remove(link))
+    this.peerReceivedAt.delete(link)
+    if (this.entries.has(link)) this.removeEntry(link)
+    else this.recordChanges(link, this.table.remove(link))
   }
 
-  private forgetEntry (link: Link): void {
+  private removeEntry (link: Link): void {
     this.entries.delete(link)
-    this.note(link, this.table.remove(link))
+    this.recordChanges(link, this.table.remove(link))
   }
 
-  /** Takes in an entry that tells this process for the first time; an older link of the same entry counts no more. */
-  private welcome (link: Link, now: number): void {
+  /** Adds an entry that sends its load to this process for the first time. An older link of the same entry is removed. */
+  private addEntry (link: Link, now: number): void {
     for (const other of [...this.entries.keys()]) {
-      if (other.peer.name === link.peer.name) this.forgetEntry(other)
+      if (other.peer.name === link.peer.name) this.removeEntry(other)
     }
-    this.entries.set(link, { heardAt: now, toldAt: now })
-    link.send(this.wholeOf((source) => source !== link))
+    this.entries.set(link, { receivedAt: now, sentAt: now })
+    link.send(this.createSnapshot((source) => source !== link))
     link.send({ kind: 'readings', readings: this.readings.all(now) })
   }
 
-  private note (from: Link, incarnations: readonly string[]): void {
-    for (const { changed } of this.allNews) {
+  private recordChanges (from: Link, incarnations: readonly string[]): void {
+    for (const { changed } of this.allPending) {
       for (const incarnation of incarnations) {
         const sources = changed.get(incarnation) ?? new Set<Link>()
         changed.set(incarnation, sources.add(from))
       }
     }
-    if (incarnations.length > 0) this.requestTelling()
+    if (incarnations.length > 0) this.requestPublishing()
   }
 
-  private noteHoldings (from: Link, holdings: readonly Holding[]): void {
-    for (const { untold } of this.allNews) untold.push(...holdings.map((holding) => ({ holding, from })))
-    if (holdings.length > 0) this.requestTelling()
+  private recordHoldings (from: Link, holdings: readonly Holding[]): void {
+    for (const { pendingHoldings } of this.allPending) pendingHoldings.push(...holdings.map((holding) => ({ holding, from })))
+    if (holdings.length > 0) this.requestPublishing()
   }
 
-  /** Nothing is kept for other regions while no peer there is linked; one that links is told the whole. */
-  private get allNews (): News[] {
-    return this.peers('farther').length > 0 ? [this.news, this.farNews] : [this.news]
+  /** Changes for other regions are recorded only while a peer there is linked. A peer that connects later receives all sums. */
+  private get allPending (): PendingChanges[] {
+    return this.findPeers('farther').length > 0 ? [this.pending, this.otherRegionPending] : [this.pending]
   }
 
-  private requestTelling (): void {
-    this.telling.request()
-    if (this.peers('farther').length > 0) this.tellingFar.request()
+  private requestPublishing (): void {
+    this.publishing.request()
+    if (this.findPeers('farther').length > 0) this.publishingToOtherRegions.request()
   }
 
-  private peers (which: 'near' | 'farther'): Link[] {
+  private findPeers (which: 'near' | 'farther'): Link[] {
     const { peers, nearness } = this.services
     return peers.links().filter((peer) => (nearness.distanceTo(peer) === 'other region') === (which === 'farther'))
   }
 
-  private tell (): void {
+  private publish (): void {
     const now = performance.now()
-    const news = this.news
-    this.news = noNews()
-    this.tellPeers(news, 'near')
+    const pending = this.pending
+    this.pending = noChanges()
+    this.publishToPeers(pending, 'near')
     for (const [link, entry] of this.entries) {
-      const word = this.wordOf(news, (source) => source !== link)
-      if (word === undefined) continue
-      entry.toldAt = now
-      link.send(word)
+      const update = this.createUpdate(pending, (source) => source !== link)
+      if (update === undefined) continue
+      entry.sentAt = now
+      link.send(update)
     }
   }
 
-  private tellFar (): void {
-    const news = this.farNews
-    this.farNews = noNews()
-    this.tellPeers(news, 'farther')
+  private publishToOtherRegions (): void {
+    const pending = this.otherRegionPending
+    this.otherRegionPending = noChanges()
+    this.publishToPeers(pending, 'farther')
   }
 
-  private tellPeers (news: News, which: 'near' | 'farther'): void {
-    const word = this.wordOf(news, isEntry)
-    if (word !== undefined) for (const peer of this.peers(which)) peer.send(word)
+  private publishToPeers (pending: PendingChanges, which: 'near' | 'farther'): void {
+    const update = this.createUpdate(pending, isEntry)
+    if (update !== undefined) for (const peer of this.findPeers(which)) peer.send(update)
   }
 
-  private tellReadings (): void {
+  private publishReadings (): void {
     const readings = this.readings.takeChanged(performance.now())
     if (readings.length === 0) return
     for (const link of this.entries.keys()) link.send({ kind: 'readings', readings })
   }
 
-  /** What some of the sources have told, added up; undefined where the news is not of them. */
-  private wordOf ({ changed, untold }: News, counts: Counts): MessageOf<'workSums'> | undefined {
-    const told = [...changed].filter(([, sources]) => [...sources].some(counts))
-    const works = told.map(([incarnation]) => this.table.sumAt(incarnation, counts))
-    const holdings = untold.filter(({ from }) => counts(from)).map(({ holding }) => holding)
-    return works.length + holdings.length === 0 ? undefined : this.word(works, holdings)
+  /** Returns the sums over the included sources where they changed; undefined if none of the changes came from them. */
+  private createUpdate ({ changed, pendingHoldings }: PendingChanges, isIncluded: SourceFilter): MessageOf<'workSums'> | undefined {
+    const affected = [...changed].filter(([, sources]) => [...sources].some(isIncluded))
+    const works = affected.map(([incarnation]) => this.table.sumAt(incarnation, isIncluded))
+    const holdings = pendingHoldings.filter(({ from }) => isIncluded(from)).map(({ holding }) => holding)
+    return works.length + holdings.length === 0 ? undefined : this.createMessage(works, holdings)
   }
 
-  private word (works: WorkSummary[], holdings: Holding[] = []): MessageOf<'workSums'> {
+  private createMessage (works: WorkSummary[], holdings: Holding[] = []): MessageOf<'workSums'> {
     return { kind: 'workSums', whole: false, peers: this.peersHeard, works, holdings }
   }
 
   private get peersHeard (): number {
-    const since = performance.now() - PEER_VALID_MS
-    return new Set([...this.peerHeardAt].filter(([, heardAt]) => heardAt > since).map(([link]) => link.peer.name)).size
+    const since = performance.now() - PEER_TIMEOUT_MS
+    return new Set([...this.peerReceivedAt].filter(([, receivedAt]) => receivedAt > since).map(([link]) => link.peer.name)).size
   }
 
-  /** Peers are taken to have as many entries as this process. */
-  private get spacingMs (): number {
-    return Math.min(MAX_SPACING_MS, SPACING_PER_ENTRY_MS * this.entries.size * (1 + this.peersHeard))
+  /** The publishing interval. It assumes that each peer has as many entries as this process. */
+  private get intervalMs (): number {
+    return Math.min(MAX_INTERVAL_MS, INTERVAL_PER_ENTRY_MS * this.entries.size * (1 + this.peersHeard))
   }
 
-  /** All that some of the sources have under way. */
-  private wholeOf (counts: Counts): MessageOf<'workSums'> {
-    const works = this.table.endpoints(counts).map((incarnation) => this.table.sumAt(incarnation, counts))
-    return { ...this.word(works), whole: true }
+  /** Returns the complete sums over the included sources. */
+  private createSnapshot (isIncluded: SourceFilter): MessageOf<'workSums'> {
+    const works = this.table.endpoints(isIncluded).map((incarnation) => this.table.sumAt(incarnation, isIncluded))
+    return { ...this.createMessage(works), whole: true }
   }
 
-  /** Forgets entries that have fallen silent, and tells those that have heard nothing for long. */
-  private repeat (): void {
+  /** Removes silent entries. Sends an empty message to all peers, and to the entries that received nothing in the last interval. */
+  private sendRepeats (): void {
     const now = performance.now()
     this.readings.forgetOld(now)
-    for (const [link, { heardAt, toldAt }] of this.entries) {
-      if (now - heardAt > ENTRY_VALID_MS) this.forgetEntry(link)
-      else if (now - toldAt >= REPEAT_MS) link.send(this.word([]))
+    for (const [link, { receivedAt, sentAt }] of this.entries) {
+      if (now - receivedAt > ENTRY_TIMEOUT_MS) this.removeEntry(link)
+      else if (now - sentAt >= REPEAT_INTERVAL_MS) link.send(this.createMessage([]))
     }
-    for (const peer of this.services.peers.links()) peer.send(this.word([]))
+    for (const peer of this.services.peers.links()) peer.send(this.createMessage([]))
   }
 }
 
-/** Entries tell of themselves, peers of their entries. */
+/** Whether a source is an entry. Other sources are peers, which send sums over their entries. */
 function isEntry (source: Link): boolean {
   return source.peer.role === 'entry'
 }
