--- a/control/program/test/crash-judge.test.ts
+++ b/control/program/test/crash-judge.test.ts
@@ -3,22 +3,22 @@
 import { type LogRecord } from '@gullwall/core.logger'
 import { CrashJudge } from '../src/crash-judge.ts'
 
-const HELD_MS = 60_000
-const KEPT_MS = 20_000
+const QUARANTINE_MS = 60_000
+const RETENTION_MS = 20_000
 
-describe('crashes that entries tell of', () => {
+describe('CrashJudge', () => {
   let now: number
   let role: 'leader' | 'follower'
   let state: ControlState
   let judge: CrashJudge
-  let lines: LogRecord[]
+  let logLines: LogRecord[]
   let proposed: Command[]
 
   beforeEach(() => {
     now = 0
     role = 'leader'
     state = new ControlState()
-    lines = []
+    logLines = []
     proposed = []
     judge = judgeOf(state)
   })
@@ -28,86 +28,86 @@
       proposed.push(command)
       return JSON.parse(of.apply(0, JSON.stringify(command))) as QuarantineResult
     }
-    const logger = { info: (line: LogRecord) => lines.push(line), warn: (line: LogRecord) => lines.push(line) }
+    const logger = { info: (line: LogRecord) => logLines.push(line), warn: (line: LogRecord) => logLines.push(line) }
     const quorum = { get role () { return role } }
     const services = { state: of, quorum, proposer: { quarantine }, logger }
-    return new CrashJudge(services as never, { crashKeptMs: KEPT_MS, heldMs: HELD_MS, now: () => now })
+    return new CrashJudge(services as never, { crashKeptMs: RETENTION_MS, heldMs: QUARANTINE_MS, now: () => now })
   }
 
-  async function pass (ms: number, of = judge): Promise<void> {
+  async function advance (ms: number, of = judge): Promise<void> {
     for (const end = now + ms; now < end; now += 50) await of.look()
   }
 
-  const tell = async (endpoint: string, ...requests: string[]) => {
+  const report = async (endpoint: string, ...requests: string[]) => {
     await judge.note({ kind: 'crashes', crashes: [{ endpoint, requests }], ranWell: [] })
   }
 
-  const held = (of = state) => [...heldRequestsIn(of.records)]
+  const quarantined = (of = state) => [...heldRequestsIn(of.records)]
 
-  async function holdOne (): Promise<void> {
-    for (const endpoint of ['i-1', 'i-2', 'i-3']) await tell(endpoint, 'a', `only-${endpoint}`)
-    await pass(500)
+  async function quarantineOne (): Promise<void> {
+    for (const endpoint of ['i-1', 'i-2', 'i-3']) await report(endpoint, 'a', `only-${endpoint}`)
+    await advance(500)
   }
 
-  it('are judged once all boxes have had the time to tell: who tells first holds nothing that another explains', async () => {
-    for (const endpoint of ['i-1', 'i-2', 'i-3']) await tell(endpoint, 'bystander')
-    await pass(100)
-    expect(held()).toEqual([])
-    for (const endpoint of ['i-1', 'i-2', 'i-3', 'i-4']) await tell(endpoint, 'a')
-    await pass(500)
-    expect(held()).toEqual(['a'])
-    expect(lines).toContainEqual(expect.objectContaining({ channel: 'quarantine', event: 'held', fingerprint: 'a' }))
+  it('evaluates crashes only after all boxes have had time to report, so that a first report does not decide', async () => {
+    for (const endpoint of ['i-1', 'i-2', 'i-3']) await report(endpoint, 'bystander')
+    await advance(100)
+    expect(quarantined()).toEqual([])
+    for (const endpoint of ['i-1', 'i-2', 'i-3', 'i-4']) await report(endpoint, 'a')
+    await advance(500)
+    expect(quarantined()).toEqual(['a'])
+    expect(logLines).toContainEqual(expect.objectContaining({ channel: 'quarantine', event: 'held', fingerprint: 'a' }))
   })
 
-  it('are judged by the leader only, and by the next one where it has ended before', async () => {
+  it('evaluates crashes only on the leader, and on the next leader if the previous one did not', async () => {
     role = 'follower'
-    await holdOne()
-    expect(held()).toEqual([])
+    await quarantineOne()
+    expect(quarantined()).toEqual([])
     role = 'leader'
-    await pass(500)
-    expect(held()).toEqual(['a'])
+    await advance(500)
+    expect(quarantined()).toEqual(['a'])
   })
 
-  it('hold a request for its time; then it may run, and one more crash holds it again', async () => {
-    await holdOne()
-    await pass(HELD_MS - 1000)
-    expect(held()).toEqual(['a'])
-    await pass(2000)
-    expect(held()).toEqual([])
-    await tell('i-9', 'a', 'b')
-    await pass(500)
-    expect(held()).toEqual(['a'])
+  it('quarantines a request for a limited time, and quarantines it again after one more crash', async () => {
+    await quarantineOne()
+    await advance(QUARANTINE_MS - 1000)
+    expect(quarantined()).toEqual(['a'])
+    await advance(2000)
+    expect(quarantined()).toEqual([])
+    await report('i-9', 'a', 'b')
+    await advance(500)
+    expect(quarantined()).toEqual(['a'])
   })
 
-  it('are forgotten after their time', async () => {
-    await tell('i-1', 'a')
-    await tell('i-2', 'a')
-    await pass(KEPT_MS + 1000)
-    await tell('i-3', 'a')
-    await pass(500)
-    expect(held()).toEqual([])
+  it('removes crashes after the retention time', async () => {
+    await report('i-1', 'a')
+    await report('i-2', 'a')
+    await advance(RETENTION_MS + 1000)
+    await report('i-3', 'a')
+    await advance(500)
+    expect(quarantined()).toEqual([])
     expect(state.quarantine.evidence.endpoints).toEqual(['i-3'])
   })
 
-  it('are there after a restart from a snapshot, with what is held', async () => {
-    await holdOne()
-    await tell('i-7', 'b')
+  it('keeps crashes and quarantined requests across a restart from a snapshot', async () => {
+    await quarantineOne()
+    await report('i-7', 'b')
     const restarted = new ControlState()
     restarted.restore(state.snapshot())
-    expect(held(restarted)).toEqual(['a'])
+    expect(quarantined(restarted)).toEqual(['a'])
     expect(restarted.quarantine.evidence.endpoints).toContain('i-7')
-    await pass(500, judgeOf(restarted))
-    expect(held(restarted)).toEqual(['a'])
+    await advance(500, judgeOf(restarted))
+    expect(quarantined(restarted)).toEqual(['a'])
   })
 
-  it('let a request go that has run well after all', async () => {
-    await holdOne()
+  it('releases a request that completed successfully', async () => {
+    await quarantineOne()
     await judge.note({ kind: 'crashes', crashes: [], ranWell: ['a'] })
-    expect(held()).toEqual([])
+    expect(quarantined()).toEqual([])
   })
 
-  it('cost nothing while there are none', async () => {
-    await pass(5000)
+  it('proposes no commands while there are no crashes', async () => {
+    await advance(5000)
     expect(proposed).toEqual([])
   })
 })
--- a/control/program/test/evacuations.test.ts
+++ b/control/program/test/evacuations.test.ts
@@ -1,4 +1,4 @@
-/** Orders to evacuate a data centre through control processes that die, are cut off, restart, or come to an order late. */
+/** Orders to evacuate a data centre while control processes are killed, isolated, restarted or delayed. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
 import { freeAddresses, until } from '@gullwall/bench.deployment'
 import { type EvacuationResult, type StoredEvacuation } from '@gullwall/control.state'
@@ -10,34 +10,34 @@
 const SEED = Number(process.env['FUZZ_SEED'] ?? Math.floor(Math.random() * 1e6))
 console.log(`evacuations through processes: FUZZ_SEED=${SEED}`)
 
-/** Leaders stay through the pauses of a machine that other tests share, unless a test takes them away. In ms. */
+/** Election timeout in ms. It exceeds the pauses of a busy test machine, so that leaders change only when a test kills or isolates them. */
 const ELECTION_MS = 1500
 
-const waiting: OrderCaller = { hasLeft: false, leftBefore: async () => false }
-const gone: OrderCaller = { hasLeft: true, leftBefore: async () => true }
+const connected: OrderCaller = { hasLeft: false, leftBefore: async () => false }
+const disconnected: OrderCaller = { hasLeft: true, leftBefore: async () => true }
 
-/** A caller whose order stands still in its process until the test lets it go on. */
-class HeldCaller implements OrderCaller {
+/** A caller whose order blocks in its process until the test unblocks it. */
+class BlockedCaller implements OrderCaller {
   hasLeft = false
-  goOn!: () => void
-  private readonly held = new Promise<void>((resolve) => { this.goOn = resolve })
+  unblock!: () => void
+  private readonly unblocked = new Promise<void>((resolve) => { this.unblock = resolve })
 
   async leftBefore (): Promise<boolean> {
-    await this.held
+    await this.unblocked
     return false
   }
 }
 
-function order (control: Control, isEvacuated: boolean, caller: OrderCaller = waiting): Promise<EvacuationResult> {
+function order (control: Control, isEvacuated: boolean, caller: OrderCaller = connected): Promise<EvacuationResult> {
   return control.get('evacuations').order({ dataCentre: 'dc2', isEvacuated, caller })
 }
 
-/** Gives an order to one process until it acknowledges it: a machine that other tests share may have it elect a leader in between. */
-async function orderAt (control: Control, isEvacuated: boolean): Promise<EvacuationResult> {
+/** Repeats an order at one process until the process acknowledges it. On a busy test machine the leader may change in between. */
+async function orderUntilAccepted (control: Control, isEvacuated: boolean): Promise<EvacuationResult> {
   let result: EvacuationResult | undefined
   await until('an acknowledgement', async () => {
     result = await order(control, isEvacuated).catch((error: unknown) => {
-      console.log(`given again: ${messageOf(error)}`)
+      console.log(`order repeated: ${messageOf(error)}`)
       return undefined
     })
     return result !== undefined
@@ -45,8 +45,8 @@
   return result as EvacuationResult
 }
 
-/** Gives an order to the processes in turn, as an operator does, until one acknowledges it. */
-async function orderSomewhere (isEvacuated: boolean): Promise<EvacuationResult> {
+/** Sends an order to the processes in turn, as an operator does, until one acknowledges it. */
+async function orderAtAnyProcess (isEvacuated: boolean): Promise<EvacuationResult> {
   let result: EvacuationResult | undefined
   await until('an acknowledgement', async () => {
     for (const control of running.values()) {
@@ -58,33 +58,33 @@
   return result as EvacuationResult
 }
 
-function known (control: Control): StoredEvacuation | undefined {
+function evacuationAt (control: Control): StoredEvacuation | undefined {
   const text = control.get('store').records.text('evacuation/dc2')
   return text === undefined ? undefined : JSON.parse(text) as StoredEvacuation
 }
 
 async function untilEverywhere (epoch: number): Promise<void> {
-  await until(`epoch ${epoch} everywhere`, () => [...running.values()].every((control) => known(control)?.epoch === epoch))
+  await until(`epoch ${epoch} everywhere`, () => [...running.values()].every((control) => evacuationAt(control)?.epoch === epoch))
 }
 
 function leader (): Control | undefined {
   return [...running.values()].find((control) => control.get('quorum').role === 'leader')
 }
 
-/** Cuts a process off from its peers, until the mocks are restored. */
-function cutOff (lost: Control): void {
-  const [lostAddress = ''] = [...running].find(([, control]) => control === lost) ?? []
+/** Isolates a process from its peers until the mocks are restored. */
+function isolate (isolated: Control): void {
+  const [isolatedAddress = ''] = [...running].find(([, control]) => control === isolated) ?? []
   for (const control of running.values()) {
     const peers = control.get('peers')
     const call = peers.call.bind(peers)
     vi.spyOn(peers, 'call').mockImplementation(async (address, message, expected, timeoutMs) => {
-      if (control !== lost && address !== lostAddress) return await call(address, message, expected, timeoutMs)
+      if (control !== isolated && address !== isolatedAddress) return await call(address, message, expected, timeoutMs)
       throw new GullwallError('ERR_GULLWALL_LINK_CLOSED', 'cut', { step: message.kind, peer: address })
     })
   }
 }
 
-async function take (control: Control): Promise<void> {
+async function kill (control: Control): Promise<void> {
   running.forEach((other, address) => { if (other === control) running.delete(address) })
   control.get('quorum').kill()
   await control.stop()
@@ -111,10 +111,10 @@
 describe('an order to five control processes', () => {
   beforeEach(startFive)
 
-  it('is acknowledged by any of them once a majority has it, comes to all, and may come again', async () => {
+  it('is acknowledged by any process after a majority stored it, reaches all processes, and may be repeated', async () => {
     let epoch = 0
     for (const control of running.values()) {
-      const result = await orderAt(control, true)
+      const result = await orderUntilAccepted(control, true)
       expect(result).toMatchObject({ isTaken: true, isEvacuated: true, withdrawals: 0 })
       expect(result.epoch).toBeGreaterThan(epoch)
       epoch = result.epoch
@@ -123,21 +123,21 @@
       expect(holders.length).toBeGreaterThanOrEqual(3)
     }
     await untilEverywhere(epoch)
-    const withdrawal = await orderAt([...running.values()][2] as Control, false)
+    const withdrawal = await orderUntilAccepted([...running.values()][2] as Control, false)
     expect(withdrawal).toMatchObject({ isTaken: true, isEvacuated: false, withdrawals: 1 })
     await untilEverywhere(withdrawal.epoch)
-    const held = { isEvacuated: false, epoch: withdrawal.epoch, withdrawals: 1 }
+    const expected = { isEvacuated: false, epoch: withdrawal.epoch, withdrawals: 1 }
     for (const control of running.values()) {
       let read: Map<string, StoredEvacuation> | undefined
       await until('a certain read', async () => {
         read = await control.get('evacuations').read().catch(() => undefined)
         return read !== undefined
       })
-      expect(read).toEqual(new Map([['dc2', held]]))
+      expect(read).toEqual(new Map([['dc2', expected]]))
     }
   })
 
-  it('holds although the leader is lost after it was durable and before it was acknowledged', async () => {
+  it('stays in force if the leader is lost after the order is durable and before it is acknowledged', async () => {
     const lost = leader() as Control
     const receiver = [...running.values()].find((control) => control !== lost) as Control
     const peers = receiver.get('peers')
@@ -145,55 +145,55 @@
     vi.spyOn(peers, 'call').mockImplementation(async (address, message, expected, timeoutMs) => {
       const reply = await call(address, message, expected, timeoutMs)
       if (message.kind !== 'propose') return reply
-      await take(lost)
+      await kill(lost)
       throw new GullwallError('ERR_GULLWALL_LINK_CLOSED', 'the leader was lost', { step: 'propose' })
     })
     await expect(order(receiver, true)).rejects.toMatchObject({ code: 'ERR_GULLWALL_LINK_CLOSED' })
     vi.restoreAllMocks()
-    const again = await orderSomewhere(true)
+    const again = await orderAtAnyProcess(true)
     expect(again).toMatchObject({ isTaken: true, isEvacuated: true })
-    // The one that was not acknowledged was taken too.
+    // The order that was not acknowledged was accepted too.
     expect(again.epoch).toBeGreaterThanOrEqual(2)
-    await until('the evacuation everywhere', () => [...running.values()].every((control) => known(control)?.isEvacuated === true))
+    await until('the evacuation everywhere', () => [...running.values()].every((control) => evacuationAt(control)?.isEvacuated === true))
   })
 
-  it('is neither acknowledged nor in force on the side of a minority, and is taken by the majority', async () => {
-    const { epoch } = await orderSomewhere(true)
+  it('is neither acknowledged nor in force in a minority, and is accepted by the majority', async () => {
+    const { epoch } = await orderAtAnyProcess(true)
     await untilEverywhere(epoch)
     const minority = addresses.slice(0, 2)
     const majority = addresses.slice(2)
-    for (const address of majority) await take(running.get(address) as Control)
+    for (const address of majority) await kill(running.get(address) as Control)
     await until('no leader', () => minority.every((address) => running.get(address)?.get('quorum').role !== 'leader'), 10_000)
     for (const address of minority) {
       const control = running.get(address) as Control
       await expect(order(control, false)).rejects.toBeInstanceOf(GullwallError)
       await expect(control.get('evacuations').read()).rejects.toBeInstanceOf(GullwallError)
-      expect(known(control)).toMatchObject({ isEvacuated: true, epoch })
+      expect(evacuationAt(control)).toMatchObject({ isEvacuated: true, epoch })
     }
     for (const address of majority) {
       await start({ address, seeds: addresses, disk: disks.get(address)?.reopened(), electionMs: ELECTION_MS })
     }
-    expect(await orderSomewhere(false)).toMatchObject({ isTaken: true, isEvacuated: false })
-    await until('the withdrawal everywhere', () => [...running.values()].every((control) => known(control)?.isEvacuated === false))
+    expect(await orderAtAnyProcess(false)).toMatchObject({ isTaken: true, isEvacuated: false })
+    await until('the withdrawal everywhere', () => [...running.values()].every((control) => evacuationAt(control)?.isEvacuated === false))
   })
 
-  it('that only a leader cut off from the others has is not acknowledged, and revives nothing when the cut heals', async () => {
-    const lost = leader() as Control
-    const others = [...running.values()].filter((control) => control !== lost)
-    cutOff(lost)
-    await expect(order(lost, true)).rejects.toBeInstanceOf(GullwallError)
-    expect(known(lost)).toBeUndefined()
+  it('is not acknowledged by an isolated leader, and has no effect after the leader reconnects', async () => {
+    const isolated = leader() as Control
+    const others = [...running.values()].filter((control) => control !== isolated)
+    isolate(isolated)
+    await expect(order(isolated, true)).rejects.toBeInstanceOf(GullwallError)
+    expect(evacuationAt(isolated)).toBeUndefined()
     await until('another leader', () => others.some((control) => control.get('quorum').role === 'leader'), 10_000)
     await until('an evacuation', async () => await order(others[0] as Control, true).then(() => true, () => false), 10_000)
     await until('a withdrawal', async () => await order(others[1] as Control, false).then(() => true, () => false), 10_000)
-    const epoch = Math.max(...others.map((control) => known(control)?.epoch ?? 0))
-    await expect(order(lost, true)).rejects.toBeInstanceOf(GullwallError)
+    const epoch = Math.max(...others.map((control) => evacuationAt(control)?.epoch ?? 0))
+    await expect(order(isolated, true)).rejects.toBeInstanceOf(GullwallError)
     vi.restoreAllMocks()
     await untilEverywhere(epoch)
-    for (const control of running.values()) expect(known(control)).toMatchObject({ isEvacuated: false })
+    for (const control of running.values()) expect(evacuationAt(control)).toMatchObject({ isEvacuated: false })
   })
 
-  it('of two operators at once is never refused, and the newest of all that were taken holds everywhere', async () => {
+  it('is never refused if two operators send orders at once, and the newest accepted order is in force everywhere', async () => {
     let state = SEED
     const random = (below: number) => {
       state = (state * 1_103_515_245 + 12_345) % 2_147_483_648
@@ -204,7 +204,7 @@
     const operators = [true, false].map(async (isEvacuated) => {
       for (let round = 0; round < 12; round += 1) {
         const targets = Array.from({ length: 1 + random(3) }, () => controls[random(5)] as Control)
-        results.push(...await Promise.all(targets.map(async (control) => await orderAt(control, isEvacuated))))
+        results.push(...await Promise.all(targets.map(async (control) => await orderUntilAccepted(control, isEvacuated))))
       }
     })
     await Promise.all(operators)
@@ -213,56 +213,57 @@
     expect(epochs.size).toBe(results.length)
     const last = Math.max(...epochs)
     await until('the last order everywhere', () => (
-      controls.every((control) => (known(control)?.epoch ?? 0) >= last && known(control)?.epoch === known(controls[0] as Control)?.epoch)
+      controls.every((control) => (evacuationAt(control)?.epoch ?? 0) >= last &&
+        evacuationAt(control)?.epoch === evacuationAt(controls[0] as Control)?.epoch)
     ))
-    // An order that was given again may have been taken before, and be the last one of all.
-    if (known(controls[0] as Control)?.epoch !== last) return
+    // A repeated order may have been accepted before its repetition, and may be the newest order.
+    if (evacuationAt(controls[0] as Control)?.epoch !== last) return
     const newest = results.find(({ epoch }) => epoch === last)
-    for (const control of controls) expect(known(control)?.isEvacuated).toBe(newest?.isEvacuated)
+    for (const control of controls) expect(evacuationAt(control)?.isEvacuated).toBe(newest?.isEvacuated)
   })
 
-  it('that stood still in its process revives nothing once its caller has left, and comes after the others while it waits', async () => {
-    const [still, first, second] = [...running.values()] as [Control, Control, Control]
-    const left = new HeldCaller()
-    const stays = new HeldCaller()
-    // However long the others take here, these are not dropped for their age.
+  it('is rejected after a delay in its process if its caller is disconnected, and is applied last if its caller still waits', async () => {
+    const [blockedProcess, first, second] = [...running.values()] as [Control, Control, Control]
+    const leavingCaller = new BlockedCaller()
+    const waitingCaller = new BlockedCaller()
+    // The time lies in the future, so that these orders do not become too old while the other orders run.
     const receivedAt = performance.now() + 60_000
-    const orderOf = (caller: OrderCaller) => still.get('evacuations').order({ dataCentre: 'dc2', isEvacuated: true, caller, receivedAt })
-    const late = orderOf(left)
-    const slow = orderOf(stays)
-    await orderAt(first, true)
-    const { epoch } = await orderAt(second, false)
-    left.hasLeft = true
-    left.goOn()
+    const orderOf = (caller: OrderCaller) => blockedProcess.get('evacuations').order({ dataCentre: 'dc2', isEvacuated: true, caller, receivedAt })
+    const late = orderOf(leavingCaller)
+    const accepted = orderOf(waitingCaller)
+    await orderUntilAccepted(first, true)
+    const { epoch } = await orderUntilAccepted(second, false)
+    leavingCaller.hasLeft = true
+    leavingCaller.unblock()
     await expect(late).rejects.toMatchObject({ code: 'ERR_GULLWALL_OVERTAKEN' })
     await untilEverywhere(epoch)
-    expect(known(still)).toMatchObject({ isEvacuated: false })
-    stays.goOn()
-    expect(await slow).toMatchObject({ isTaken: true, isEvacuated: true, epoch: epoch + 1 })
+    expect(evacuationAt(blockedProcess)).toMatchObject({ isEvacuated: false })
+    waitingCaller.unblock()
+    expect(await accepted).toMatchObject({ isTaken: true, isEvacuated: true, epoch: epoch + 1 })
   })
 
-  it('is there again after all processes have been killed at once', async () => {
-    await orderSomewhere(true)
-    const { epoch } = await orderSomewhere(true)
-    await Promise.all([...running.values()].map(async (control) => await take(control)))
+  it('is in force again after all processes were killed at once', async () => {
+    await orderAtAnyProcess(true)
+    const { epoch } = await orderAtAnyProcess(true)
+    await Promise.all([...running.values()].map(async (control) => await kill(control)))
     for (const address of addresses) {
       await start({ address, seeds: addresses, disk: disks.get(address)?.reopened(), electionMs: ELECTION_MS })
     }
     await untilEverywhere(epoch)
-    for (const control of running.values()) expect(known(control)).toMatchObject({ isEvacuated: true })
+    for (const control of running.values()) expect(evacuationAt(control)).toMatchObject({ isEvacuated: true })
   })
 
-  it('changes nothing if its caller left before it was read, or has waited for too long', async () => {
+  it('changes nothing if its caller disconnected before the order was read, or if the order is too old', async () => {
     const control = leader() as Control
-    await expect(order(control, true, gone)).rejects.toMatchObject({ code: 'ERR_GULLWALL_CALLER_LEFT' })
+    await expect(order(control, true, disconnected)).rejects.toMatchObject({ code: 'ERR_GULLWALL_CALLER_LEFT' })
     const receivedAt = performance.now() - 2000
-    const old = control.get('evacuations').order({ dataCentre: 'dc2', isEvacuated: true, caller: waiting, receivedAt })
+    const old = control.get('evacuations').order({ dataCentre: 'dc2', isEvacuated: true, caller: connected, receivedAt })
     await expect(old).rejects.toMatchObject({ code: 'ERR_GULLWALL_OVERTAKEN' })
-    expect(known(control)).toBeUndefined()
+    expect(evacuationAt(control)).toBeUndefined()
   })
 })
 
-it('an evacuation survives a restart from a snapshot that was taken in the middle, and so does what tells a late order', async () => {
+it('an evacuation and its epoch survive a restart from a snapshot, so that a late order is still rejected', async () => {
   const [address = ''] = await freeAddresses(1)
   const disk = new MemoryDisk()
   const control = await start({ address, seeds: [address], disk, tolerance: 0 })
@@ -273,21 +274,21 @@
   await control.get('proposer').apply({ type: 'apply', operationId: 'large', expectedRevision: null, changes, operator: 'test', at: '' })
   await until('a snapshot', () => control.get('quorum').status().snapshotIndex > 0)
   await order(control, false)
-  await control.get('evacuations').order({ dataCentre: 'dc3', isEvacuated: true, caller: waiting })
-  await take(control)
+  await control.get('evacuations').order({ dataCentre: 'dc3', isEvacuated: true, caller: connected })
+  await kill(control)
   const again = await start({ address, seeds: [address], disk: disk.reopened(), tolerance: 0 })
   await until('a leader again', () => leader() !== undefined)
   await until('all of it', async () => (await again.get('evacuations').read().catch(() => undefined))?.get('dc3')?.isEvacuated === true)
-  expect(known(again)).toEqual({ isEvacuated: false, epoch: 2, withdrawals: 1 })
+  expect(evacuationAt(again)).toEqual({ isEvacuated: false, epoch: 2, withdrawals: 1 })
   const late = await again.get('proposer').evacuate({ type: 'evacuate', dataCentre: 'dc2', isEvacuated: true, seen: 1 })
   expect(late).toMatchObject({ isTaken: false, isEvacuated: false })
 })
 
-it('a data centre that nobody knows is refused by its name where the settings name them all', async () => {
+it('an unknown data centre is refused by name if the settings name all data centres', async () => {
   const [address = ''] = await freeAddresses(1)
   const control = await start({ address, seeds: [address], tolerance: 0, regions: { dc1: 'north', dc2: 'south' } })
   await until('a leader', () => leader() !== undefined)
-  const orderOf = (dataCentre: string) => control.get('evacuations').order({ dataCentre, isEvacuated: true, caller: waiting })
+  const orderOf = (dataCentre: string) => control.get('evacuations').order({ dataCentre, isEvacuated: true, caller: connected })
   await expect(orderOf('dc9')).rejects.toMatchObject({ code: 'ERR_GULLWALL_NO_SUCH_DATA_CENTRE', message: expect.stringContaining('dc9') })
   await expect(orderOf('dc2')).resolves.toMatchObject({ isTaken: true })
   const lease = { incarnation: 'i-9', service: 's', address: '127.0.0.1:1', dataCentre: 'dc9', slots: 1, state: 'ready', sequence: 1, ageMs: 0 } as const
--- a/control/program/test/grant-model.ts
+++ b/control/program/test/grant-model.ts
@@ -1,6 +1,6 @@
 /**
- * A model of everything that is asked, granted and sent for one cold endpoint: control processes of which one leads, boxes that
- * ask them, messages that take any time or are lost, clocks that run unevenly, and processes that start again.
+ * A simulation of the grants for one bounded endpoint. It has control processes with elected leaders, boxes that request grants and
+ * send requests, messages with any delay or loss, clocks with different rates, and restarts of processes.
  */
 import { GrantPurse } from '../../../entry/gateway/src/grant-purse.ts'
 import { GrantDuty } from '../src/grant-duty.ts'
@@ -8,13 +8,13 @@
 
 const ENDPOINT = 'i-cold'
 
-/** When a box uses a grant, as shares of the time that it has for it: to dispatch the requests, and then to connect. */
+/** When a box uses a grant: the used shares of the time to dispatch the requests and of the time to connect. */
 export interface Use {
   dispatchShare: number
   connectShare: number
 }
 
-/** What happens, each `afterMs` after the step before it, by a clock that none of the processes has. */
+/** A step of a scenario. It runs `afterMs` after the previous step, by the clock of the simulation. */
 export type Step = { afterMs: number } & (
   | { type: 'ask', box: number, control: number, requests: number, thereMs: number, backMs: number, isLost: boolean, use: Use }
   | { type: 'elect', control: number, tellsOld: boolean }
@@ -25,14 +25,14 @@
 
 export interface ModelOptions {
   bound: GrantBound
-  /** How fast the clocks run, in the order of the control processes and then of the boxes. */
+  /** Rates of the clocks, first of the control processes and then of the boxes. */
   rates: readonly number[]
-  /** Ways in which the code could be wrong; none where the model is of the code as it is. */
+  /** Replaces the creation of ledgers. This option and those below inject faults; without them the simulation runs the real code. */
   newLedger?: (now: number) => GrantLedger
   leaseMs?: number
-  /** A leader takes its own word for it that it leads. */
+  /** Makes leaders skip the confirmation by a majority. */
   neverConfirms?: boolean
-  /** A box counts the time of a grant from when it got it. */
+  /** Makes boxes count the validity of a grant from the arrival of the response. */
   countsFromAnswer?: boolean
 }
 
@@ -45,28 +45,28 @@
 export const BOXES = 4
 
 export class GrantModel {
-  /** When requests were sent to the endpoint. */
+  /** Times at which requests were sent to the endpoint. */
   readonly sentAt: number[] = []
   granted = 0
   private time = 0
   private term = 0
   private leader: number | undefined
-  private readonly believed: Array<number | undefined> = Array.from({ length: CONTROLS }, () => undefined)
+  private readonly believedTerms: Array<number | undefined> = Array.from({ length: CONTROLS }, () => undefined)
   private readonly duties: GrantDuty[]
-  private readonly purses: GrantPurse[]
-  private readonly starts = Array.from({ length: BOXES }, () => 0)
+  private readonly grantPools: GrantPurse[]
+  private readonly restartCounts = Array.from({ length: BOXES }, () => 0)
   private events: Event[] = []
 
   constructor (private readonly options: ModelOptions) {
-    this.duties = this.believed.map((_unused, control) => this.newDuty(control))
-    this.purses = this.starts.map(() => new GrantPurse())
+    this.duties = this.believedTerms.map((_unused, control) => this.createDuty(control))
+    this.grantPools = this.restartCounts.map(() => new GrantPurse())
   }
 
   async play (steps: readonly Step[]): Promise<void> {
     let at = 0
     for (const step of steps) {
       at += step.afterMs
-      this.events.push({ at, run: () => this.take(step) })
+      this.events.push({ at, run: () => this.execute(step) })
     }
     while (this.events.length > 0) {
       this.events.sort((left, right) => left.at - right.at)
@@ -76,7 +76,7 @@
     }
   }
 
-  /** The most requests that were sent within any window. */
+  /** Returns the largest number of requests that were sent within one window. */
   get most (): number {
     const sorted = this.sentAt.toSorted((left, right) => left - right)
     let most = 0
@@ -88,72 +88,72 @@
     return most
   }
 
-  private take (step: Step): void {
+  private execute (step: Step): void {
     switch (step.type) {
-      case 'ask': this.ask(step); break
+      case 'ask': this.requestGrant(step); break
       case 'elect': this.elect(step); break
       case 'observe': this.duties[step.control]?.observe(); break
       case 'restartBox':
-        this.purses[step.box] = new GrantPurse()
-        this.starts[step.box] = (this.starts[step.box] as number) + 1
+        this.grantPools[step.box] = new GrantPurse()
+        this.restartCounts[step.box] = (this.restartCounts[step.box] as number) + 1
         break
       case 'restartControl':
         if (this.leader === step.control) this.leader = undefined
-        this.believed[step.control] = undefined
-        this.duties[step.control] = this.newDuty(step.control)
+        this.believedTerms[step.control] = undefined
+        this.duties[step.control] = this.createDuty(step.control)
         break
     }
   }
 
-  private ask ({ box, control, requests, thereMs, backMs, isLost, use }: Extract<Step, { type: 'ask' }>): void {
-    const askedAt = this.boxTime(box)
-    const start = this.starts[box]
-    this.after(thereMs, async () => {
+  private requestGrant ({ box, control, requests, thereMs, backMs, isLost, use }: Extract<Step, { type: 'ask' }>): void {
+    const requestedAt = this.boxTime(box)
+    const start = this.restartCounts[box]
+    this.schedule(thereMs, async () => {
       const ledger = await this.duties[control]?.held()
-      const wish = { incarnation: ENDPOINT, box: String(box), requests, bounds: [this.options.bound] }
-      const grant = ledger?.grant(wish, this.controlTime(control))
+      const request = { incarnation: ENDPOINT, box: String(box), requests, bounds: [this.options.bound] }
+      const grant = ledger?.grant(request, this.controlTime(control))
       if (grant === undefined || grant.requests === 0) return
       this.granted += grant.requests
       if (isLost) return
-      this.after(backMs, () => {
-        if (this.starts[box] !== start) return
+      this.schedule(backMs, () => {
+        if (this.restartCounts[box] !== start) return
         const now = this.boxTime(box)
-        const from = this.options.countsFromAnswer === true ? now : askedAt
+        const from = this.options.countsFromAnswer === true ? now : requestedAt
         const until = from + grant.withinMs
-        this.purses[box]?.add(ENDPOINT, { requests: grant.requests, until }, now)
-        // As late as possible is just before the end.
+        this.grantPools[box]?.add(ENDPOINT, { requests: grant.requests, until }, now)
+        // The latest possible dispatch is just before the grant expires.
         const waitMs = use.dispatchShare * Math.max(0, until - now - 1) / this.boxRate(box)
-        this.after(waitMs, () => this.send(box, grant.requests, use))
+        this.schedule(waitMs, () => this.send(box, grant.requests, use))
       })
     })
   }
 
   private send (box: number, requests: number, { connectShare }: Use): void {
-    for (let count = 0; count < requests && this.purses[box]?.take(ENDPOINT, this.boxTime(box)) === true; count += 1) {
-      this.after(connectShare * this.options.bound.sentWithinMs / this.boxRate(box), () => { this.sentAt.push(this.time) })
+    for (let count = 0; count < requests && this.grantPools[box]?.take(ENDPOINT, this.boxTime(box)) === true; count += 1) {
+      this.schedule(connectShare * this.options.bound.sentWithinMs / this.boxRate(box), () => { this.sentAt.push(this.time) })
     }
   }
 
-  /** A majority votes for another leader; the one before may not hear of it. */
+  /** Elects another leader. The previous leader may not learn of the election. */
   private elect ({ control, tellsOld }: Extract<Step, { type: 'elect' }>): void {
-    if (tellsOld && this.leader !== undefined && this.leader !== control) this.believed[this.leader] = undefined
+    if (tellsOld && this.leader !== undefined && this.leader !== control) this.believedTerms[this.leader] = undefined
     this.term += 1
     this.leader = control
-    this.believed[control] = this.term
+    this.believedTerms[control] = this.term
   }
 
-  private newDuty (control: number): GrantDuty {
+  private createDuty (control: number): GrantDuty {
     const { newLedger, leaseMs, neverConfirms } = this.options
     return new GrantDuty({
       newLedger,
       leaseMs,
-      leadingTerm: () => this.believed[control],
-      confirm: async () => { if (this.leader !== control && neverConfirms !== true) throw new Error('another one leads') },
+      leadingTerm: () => this.believedTerms[control],
+      confirm: async () => { if (this.leader !== control && neverConfirms !== true) throw new Error('another process leads') },
       now: () => this.controlTime(control)
     })
   }
 
-  private after (ms: number, run: Event['run']): void {
+  private schedule (ms: number, run: Event['run']): void {
     this.events.push({ at: this.time + ms, run })
   }
 
--- a/control/program/test/granter.test.ts
+++ b/control/program/test/granter.test.ts
@@ -7,7 +7,7 @@
 import { GRANT_USE_MS, MAX_GRANT } from '../src/grant-ledger.ts'
 import { running, start, stopAll, type Control } from './control-processes.ts'
 
-const ANSWER_MS = 2000
+const RESPONSE_TIMEOUT_MS = 2000
 const BOUND = 21
 const DOCUMENT = JSON.stringify({
   version: 1,
@@ -43,13 +43,13 @@
   return dialer.link as Link
 }
 
-const wishFor = (incarnation: string, service = 'lm'): GrantWish => ({ incarnation, service, requests: MAX_GRANT })
+const createGrantRequest = (incarnation: string, service = 'lm'): GrantWish => ({ incarnation, service, requests: MAX_GRANT })
 
-async function ask (link: Link, wishes: GrantWish[]): Promise<Grant[]> {
-  return (await link.request({ kind: 'coldAsk', entry: 'entry', wishes }, 'coldGranted', ANSWER_MS)).grants
+async function requestGrants (link: Link, wishes: GrantWish[]): Promise<Grant[]> {
+  return (await link.request({ kind: 'coldAsk', entry: 'entry', wishes }, 'coldGranted', RESPONSE_TIMEOUT_MS)).grants
 }
 
-async function threeProcesses (): Promise<{ leader: Control, followers: Control[] }> {
+async function startThreeProcesses (): Promise<{ leader: Control, followers: Control[] }> {
   const seeds = await freeAddresses(3)
   const common = { seeds, tolerance: 1, cold: { overrun: 1.5, slack: 5 } }
   for (const address of seeds) await start({ ...common, address })
@@ -63,56 +63,56 @@
   return { leader: controls.find(leads) as Control, followers: controls.filter((control) => !leads(control)) }
 }
 
-describe('the bound of a cold endpoint', () => {
-  it('is what the service bears by what the deployment allows, in whole requests', () => {
+describe('coldBound', () => {
+  it('multiplies the limit of the service by the allowed overrun, adds the slack, and rounds down to whole requests', () => {
     expect(coldBound({ perSecond: 11 }, { overrun: 1.5, slack: 5 })).toBe(BOUND)
     expect(coldBound({ perSecond: 11 })).toBe(11)
     expect(coldBound({ perSecond: 0.5 })).toBe(0)
   })
 })
 
-/** Asks until the leader answers: on a busy machine its lease may have run out for a moment, and then it grants nothing. */
-async function askUntilAnswered (link: Link, wishes: GrantWish[]): Promise<Grant[]> {
+/** Repeats the request until the leader answers. On a busy machine its lease may expire for a moment, and it grants nothing meanwhile. */
+async function requestGrantsUntilAnswered (link: Link, wishes: GrantWish[]): Promise<Grant[]> {
   let grants: Grant[] | undefined
   await until('an answer', async () => {
-    grants = await ask(link, wishes).catch(() => undefined)
+    grants = await requestGrants(link, wishes).catch(() => undefined)
     return grants !== undefined
   })
   return grants ?? []
 }
 
-describe('grants of a quorum', () => {
-  it('are asked for through any process, given by the leader, and stay within the bound over all who ask', async () => {
-    const { leader, followers } = await threeProcesses()
+describe('Granter', () => {
+  it('accepts requests at any process, grants at the leader only, and keeps the total of all requesters within the bound', async () => {
+    const { leader, followers } = await startThreeProcesses()
     const links = await Promise.all([leader, ...followers].map(async (control) => await linkTo(control.get('server').address)))
     const [, follower] = links as [Link, Link]
-    // A leader that is new does not hold the lease at first, and grants nothing until what the one before has granted is over.
-    let grants = await askUntilAnswered(follower, [wishFor('a')])
+    // A new leader has no lease at first, and grants nothing until the grants of the previous leader have expired.
+    let grants = await requestGrantsUntilAnswered(follower, [createGrantRequest('a')])
     expect(grants).toMatchObject([{ incarnation: 'a', requests: 0 }])
     await until('a grant', async () => {
-      grants = await askUntilAnswered(follower, [wishFor('a')])
+      grants = await requestGrantsUntilAnswered(follower, [createGrantRequest('a')])
       return (grants[0]?.requests ?? 0) > 0
     })
     expect(grants).toEqual([{ incarnation: 'a', requests: MAX_GRANT, withinMs: GRANT_USE_MS }])
-    const all = (await Promise.all(links.map(async (link) => await askUntilAnswered(link, [wishFor('a'), wishFor('a')])))).flat()
+    const all = (await Promise.all(links.map(async (link) => await requestGrantsUntilAnswered(link, [createGrantRequest('a'), createGrantRequest('a')])))).flat()
     const granted = all.reduce((sum, { requests }) => sum + requests, MAX_GRANT)
     expect(granted).toBe(Math.ceil(BOUND / 2))
     expect(all.filter(({ requests }) => requests === 0).every(({ withinMs }) => withinMs > 0)).toBe(true)
-    // Nothing is granted of a service whose document has no such limit.
-    expect(await askUntilAnswered(follower, [wishFor('b', 'plain')])).toMatchObject([{ requests: 0 }])
+    // A service without a cold limit in the document is granted nothing.
+    expect(await requestGrantsUntilAnswered(follower, [createGrantRequest('b', 'plain')])).toMatchObject([{ requests: 0 }])
   }, 20_000)
 
-  it('are not given by a process that is asked by a peer but does not lead', async () => {
-    const { followers } = await threeProcesses()
+  it('refuses a forwarded request at a process that does not lead', async () => {
+    const { followers } = await startThreeProcesses()
     const granter = (followers[0] as Control).get('granter')
-    const asked = granter.answer({ kind: 'coldAsk', entry: 'entry', wishes: [wishFor('a')] }, { isForwarded: true })
-    await expect(asked).rejects.toMatchObject({ code: 'ERR_GULLWALL_NOT_LEADER' })
+    const response = granter.answer({ kind: 'coldAsk', entry: 'entry', wishes: [createGrantRequest('a')] }, { isForwarded: true })
+    await expect(response).rejects.toMatchObject({ code: 'ERR_GULLWALL_NOT_LEADER' })
   }, 20_000)
 
-  it('are not given while no majority is up', async () => {
-    const { leader, followers } = await threeProcesses()
+  it('grants nothing while no majority is up', async () => {
+    const { leader, followers } = await startThreeProcesses()
     await Promise.all(followers.map(async (control) => await control.stop()))
     const link = await linkTo(leader.get('server').address)
-    await expect(ask(link, [wishFor('a')])).rejects.toMatchObject({ code: 'ERR_GULLWALL_PEER_FAILED' })
+    await expect(requestGrants(link, [createGrantRequest('a')])).rejects.toMatchObject({ code: 'ERR_GULLWALL_PEER_FAILED' })
   }, 20_000)
 })
--- a/control/program/test/joining.test.ts
+++ b/control/program/test/joining.test.ts
@@ -15,15 +15,15 @@
   return JSON.stringify({ version, routes: [], services: [], organisations: [], limits: {} })
 }
 
-/** Puts a document at one process and at others in turn, as an operator does, until it is taken. */
-async function put (version: number): Promise<void> {
+/** Sends a document to the processes in turn, as an operator does, until one accepts it. */
+async function putDocument (version: number): Promise<void> {
   await until(`version ${version}`, async () => {
     for (const control of running.values()) {
       try {
         await control.get('documents').put(documentText(version))
         return true
       } catch {
-        // The next process may know the leader.
+        // Another process may know the leader.
       }
     }
     return false
@@ -31,10 +31,10 @@
 }
 
 /**
- * Reads at one process until it answers: one that can't be sure of the newest version refuses, and never answers with an
- * older one. Tells what it refused with if it never answers.
+ * Repeats a read at one process until it answers. A process that can't determine the newest version refuses the read. If the process
+ * never answers, the error lists the refusals.
  */
-async function read (control: Control): Promise<number | undefined> {
+async function readVersion (control: Control): Promise<number | undefined> {
   const refusals: string[] = []
   let version: number | undefined
   await until('an answer', async () => {
@@ -52,43 +52,43 @@
 
 afterEach(stopAll)
 
-async function five (): Promise<{ addresses: string[], seeds: string[] }> {
+async function startFive (): Promise<{ addresses: string[], seeds: string[] }> {
   const addresses = await freeAddresses(5)
   const seeds = addresses.slice(0, 3)
-  // The seeds start last: those that join find nobody at first.
+  // The seeds start last, so that the other processes find no quorum at first.
   for (const address of [...addresses].reverse()) await start({ address, seeds })
   await until('five voters everywhere', () => [...running.values()].every((control) => voters(control) === 5))
   return { addresses, seeds }
 }
 
 describe('control processes that know only three seeds', () => {
-  it('become one quorum of five, and acknowledge nothing before', async () => {
+  it('form one quorum of five, and acknowledge nothing before that', async () => {
     const addresses = await freeAddresses(5)
     const seeds = addresses.slice(0, 3)
     for (const address of seeds) await start({ address, seeds })
     await until('a leader', () => leader() !== undefined)
     await expect(leader()?.get('documents').put(documentText(1))).rejects.toMatchObject({ code: 'ERR_GULLWALL_NO_QUORUM' })
     for (const address of addresses.slice(3)) await start({ address, seeds })
-    await put(1)
-    for (const control of running.values()) await until('the same version', async () => await read(control) === 1)
-    await put(3)
-    await put(2)
-    expect(await read([...running.values()][4] as Control)).toBe(3)
+    await putDocument(1)
+    for (const control of running.values()) await until('the same version', async () => await readVersion(control) === 1)
+    await putDocument(3)
+    await putDocument(2)
+    expect(await readVersion([...running.values()][4] as Control)).toBe(3)
   })
 
-  it('become one quorum although the first seed, or another one, has lost its disk before it was founded', async () => {
+  it('form one quorum if the first seed or another seed lost its disk before the quorum was founded', async () => {
     for (const lost of [0, 1]) {
       const addresses = (await freeAddresses(5)).sort()
       const seeds = addresses.slice(0, 3)
       for (const [index, address] of addresses.entries()) await start({ address, seeds, founds: index < 3 && index !== lost })
       await until('five voters everywhere', () => [...running.values()].every((control) => voters(control) === 5), 10_000)
-      await put(1)
-      for (const control of running.values()) await until('the same version', async () => await read(control) === 1)
+      await putDocument(1)
+      for (const control of running.values()) await until('the same version', async () => await readVersion(control) === 1)
       await stopAll()
     }
   })
 
-  it('found nothing while most of the seeds have lost their disks: what was acknowledged may lie on those that are away', async () => {
+  it('found no quorum while most seeds have lost their disks, since acknowledged data may be on the unreachable seeds', async () => {
     const addresses = (await freeAddresses(3)).sort()
     for (const [index, address] of addresses.entries()) await start({ address, seeds: addresses, founds: index === 2 })
     const FOUNDING_MS = 1500
@@ -96,14 +96,14 @@
     expect([...running.values()].map(voters)).toEqual([0, 0, 0])
   })
 
-  it('link to each other, all of them, so that any of them knows the leader and hears what entries tell any other', async () => {
-    await five()
+  it('link to all other control processes', async () => {
+    await startFive()
     await until('all links', () => [...running.values()].every((control) => control.get('peers').links().length === 4))
   })
 
-  it('take a process back that has lost its disk, and bear the loss of two more after that', async () => {
-    const { addresses, seeds } = await five()
-    await put(7)
+  it('readmit processes that lost their disks, and tolerate the loss of two others after that', async () => {
+    const { addresses, seeds } = await startFive()
+    await putDocument(7)
     for (const round of [[0, 1], [2, 3]]) {
       const lost = round.map((index) => addresses[index] ?? '')
       for (const address of lost) await running.get(address)?.stop()
@@ -114,30 +114,30 @@
         return voters(control) === 5 && quorum.membership.voters[quorum.name]?.incarnation === quorum.vote.incarnation
       }), 20_000)
     }
-    for (const control of running.values()) await until('what was acknowledged', async () => await read(control) === 7)
+    for (const control of running.values()) await until('what was acknowledged', async () => await readVersion(control) === 7)
   })
 
-  it('give the place of a voter that stays away to one that joins', async () => {
-    const { addresses, seeds } = await five()
-    await put(1)
-    const [gone = ''] = addresses.slice(4)
-    await running.get(gone)?.stop()
-    running.delete(gone)
-    const [fresh = ''] = await freeAddresses(1)
-    const joined = await start({ address: fresh, seeds, founds: false })
+  it('replace a voter that stays unreachable with a process that joins', async () => {
+    const { addresses, seeds } = await startFive()
+    await putDocument(1)
+    const [stoppedAddress = ''] = addresses.slice(4)
+    await running.get(stoppedAddress)?.stop()
+    running.delete(stoppedAddress)
+    const [newAddress = ''] = await freeAddresses(1)
+    const joined = await start({ address: newAddress, seeds, founds: false })
     await until('the new voter', () => {
       const { quorum } = joined.services
       return quorum.membership.voters[quorum.name] !== undefined && voters(joined) === 5
     }, 20_000)
     await until('a link to each voter', () => joined.get('peers').links().length >= 4)
-    await put(2)
-    expect(await read(joined)).toBe(2)
+    await putDocument(2)
+    expect(await readVersion(joined)).toBe(2)
   })
 })
 
-describe('an endpoint that leaves', () => {
-  it('is acknowledged only when a majority of control processes knows it', async () => {
-    const { addresses } = await five()
+describe('an endpoint that drains', () => {
+  it('is acknowledged only after a majority of control processes has stored its state', async () => {
+    const { addresses } = await startFive()
     const lease = { incarnation: 'i-1', service: 's', address: '127.0.0.1:1', dataCentre: 'dc1', slots: 1, ageMs: 0 }
     const last = running.get(addresses[4] ?? '') as Control
     await last.get('registrar').hear({ ...lease, state: 'ready', sequence: 1 })
--- a/control/program/test/lease-store.test.ts
+++ b/control/program/test/lease-store.test.ts
@@ -17,8 +17,8 @@
   running.clear()
 }
 
-describe('the endpoints that a control process knew', () => {
-  it('are known again right after a restart, before any heartbeat, and those that left have left', async () => {
+describe('LeaseStore', () => {
+  it('restores ready and gone endpoints after a restart, before any heartbeat', async () => {
     const disk = new MemoryDisk()
     const first = await startOn(disk)
     await first.get('registrar').hear(lease)
@@ -30,24 +30,24 @@
     expect(second.get('leases').get('i-2')?.state).toBe('gone')
   })
 
-  it('are written again after the disk has refused', async () => {
+  it('repeats a write after the disk has failed', async () => {
     const disk = new MemoryDisk()
     const control = await startOn(disk)
     const replace = disk.replace.bind(disk)
-    let refusals = 0
+    let failedWrites = 0
     disk.replace = async (name, data) => {
-      if (name === 'leases' && refusals === 0) {
-        refusals += 1
+      if (name === 'leases' && failedWrites === 0) {
+        failedWrites += 1
         throw new Error('no space left')
       }
       await replace(name, data)
     }
     await control.get('registrar').hear(lease)
     await until('they are written', async () => (await readChecked(disk, 'leases'))?.includes('i-1') === true)
-    expect(refusals).toBe(1)
+    expect(failedWrites).toBe(1)
   })
 
-  it('are heard anew where the file is damaged or means nothing', async () => {
+  it('starts without endpoints if the file is damaged or has unexpected content', async () => {
     const disk = new MemoryDisk()
     await writeChecked(disk, 'leases', '{"no":"leases"}')
     const control = await startOn(disk)
--- a/control/program/test/member-table.test.ts
+++ b/control/program/test/member-table.test.ts
@@ -5,52 +5,52 @@
 const ADDRESS = '127.0.0.1:7000'
 const member = { address: ADDRESS, box: 'runner-1', dataCentre: 'east' } as unknown as Member
 const present: MemberChange = { kind: 'members', whole: false, present: [member], gone: [] }
-const LONGER_THAN_LEASE_MS = 10_000
+const AFTER_TIMEOUT_MS = 10_000
 
-describe('the sidecars that control knows', () => {
+describe('MemberTable', () => {
   let table: MemberTable
-  let told: MemberChange[]
+  let changes: MemberChange[]
 
   beforeEach(() => {
     vi.useFakeTimers()
     table = new MemberTable()
-    told = []
-    table.onChange((change) => told.push(change))
+    changes = []
+    table.onChange((change) => changes.push(change))
   })
   afterEach(() => { vi.useRealTimers() })
 
-  const goneTold = (): string[] => told.flatMap(({ gone }) => gone)
+  const reportedGone = (): string[] => changes.flatMap(({ gone }) => gone)
 
-  it('are told to be gone once their lease here has ended', () => {
+  it('reports a sidecar as gone after the reconnect timeout', () => {
     table.announce(member)
     table.linkClosed(ADDRESS)
-    vi.advanceTimersByTime(LONGER_THAN_LEASE_MS)
-    expect(goneTold()).toEqual([ADDRESS])
+    vi.advanceTimersByTime(AFTER_TIMEOUT_MS)
+    expect(reportedGone()).toEqual([ADDRESS])
   })
 
-  it('are not told to be gone if they have come back through a peer meanwhile', () => {
+  it('does not report a sidecar as gone if it connected to a peer in the meantime', () => {
     table.announce(member)
     table.linkClosed(ADDRESS)
     table.learn('c2', present)
-    vi.advanceTimersByTime(LONGER_THAN_LEASE_MS)
-    expect(goneTold()).toEqual([])
+    vi.advanceTimersByTime(AFTER_TIMEOUT_MS)
+    expect(reportedGone()).toEqual([])
     expect(table.all()).toEqual([member])
   })
 
-  it('are not told to be gone by a peer while they are linked here', () => {
+  it('does not report a sidecar as gone while it is linked here, if a peer reports it as gone', () => {
     table.learn('c2', present)
     table.announce(member)
     table.learn('c2', { ...present, present: [], gone: [ADDRESS] })
-    expect(goneTold()).toEqual([])
+    expect(reportedGone()).toEqual([])
   })
 
-  it('are told to peers as they are here, since each peer adds up by itself', () => {
+  it('notifies local listeners only of sidecars that are linked here', () => {
     const local: MemberChange[] = []
     table.onLocalChange((change) => local.push(change))
     table.announce(member)
     table.learn('c2', present)
     table.linkClosed(ADDRESS)
-    vi.advanceTimersByTime(LONGER_THAN_LEASE_MS)
+    vi.advanceTimersByTime(AFTER_TIMEOUT_MS)
     expect(local.map(({ present: here, gone }) => [here.length, gone])).toEqual([[1, []], [0, [ADDRESS]]])
   })
 })
--- a/control/program/test/nearness.test.ts
+++ b/control/program/test/nearness.test.ts
@@ -2,7 +2,7 @@
 import { type Link } from '@gullwall/transport.link'
 import { Nearness, type Turn } from '../src/nearness.ts'
 
-/** Six data centres in two regions; the control processes stand in five of them, 3 and 2. */
+/** Six data centres in two regions. Five of them have a control process: three in the north and two in the south. */
 const REGIONS = { n1: 'north', n2: 'north', n3: 'north', s1: 'south', s2: 'south', s3: 'south' }
 const CONTROLS = ['n1', 'n2', 'n3', 's1', 's2']
 
@@ -10,43 +10,43 @@
   return { peer: { name, dataCentre } } as unknown as Link
 }
 
-function nearnessOf (dataCentre: string, linked = CONTROLS, regions: Record<string, string> | undefined = REGIONS): Nearness {
+function createNearness (dataCentre: string, linked = CONTROLS, regions: Record<string, string> | undefined = REGIONS): Nearness {
   const peers = linked.filter((other) => other !== dataCentre).map((other) => linkTo(`c-${other}`, other))
   return new Nearness({ settings: { dataCentre, member: `c-${dataCentre}`, regions }, peers: { links: () => peers } })
 }
 
-/** When each control process tells an entry. */
+/** Returns the turn of each control process for an entry. */
 function turnsFor (name: string, dataCentre: string): Record<string, Turn> {
-  return Object.fromEntries(CONTROLS.map((control) => [control, nearnessOf(control).turnFor(linkTo(name, dataCentre))]))
+  return Object.fromEntries(CONTROLS.map((control) => [control, createNearness(control).turnFor(linkTo(name, dataCentre))]))
 }
 
-describe('who tells an entry', () => {
-  it('is the control process of its data centre, then those of its region, and those of the other last', () => {
+describe('Nearness', () => {
+  it('puts the control process of the data centre first, those of the region second, and those of the other region last', () => {
     expect(turnsFor('e-1', 'n2')).toEqual({ n1: 'second', n2: 'first', n3: 'second', s1: 'last', s2: 'last' })
   })
 
-  it('is one of its region where its data centre has none; entries are spread among these', () => {
-    const firsts = new Set<string>()
+  it('distributes entries over the control processes of their region if their data centre has none', () => {
+    const firstProcesses = new Set<string>()
     for (let index = 0; index < 20; index += 1) {
       const { s1, s2, ...north } = turnsFor(`e-${index}`, 's3')
       expect([s1, s2].sort()).toEqual(['first', 'second'])
       expect(new Set(Object.values(north))).toEqual(new Set(['last']))
-      firsts.add(s1 === 'first' ? 's1' : 's2')
+      firstProcesses.add(s1 === 'first' ? 's1' : 's2')
     }
-    expect(firsts.size).toBe(2)
+    expect(firstProcesses.size).toBe(2)
   })
 
-  it('is the other one of its region once the first is linked no more, and any where its region has none', () => {
+  it('moves to the other control process of the region if the first is not linked, and to any process if the region has none', () => {
     for (let index = 0; index < 20; index += 1) {
-      expect(nearnessOf('s2', ['n1', 'n2', 'n3', 's2']).turnFor(linkTo(`e-${index}`, 's3'))).toBe('first')
+      expect(createNearness('s2', ['n1', 'n2', 'n3', 's2']).turnFor(linkTo(`e-${index}`, 's3'))).toBe('first')
     }
-    expect(nearnessOf('n1', ['n1', 'n2', 'n3']).turnFor(linkTo('e-1', 's3'))).toBe('second')
+    expect(createNearness('n1', ['n1', 'n2', 'n3']).turnFor(linkTo('e-1', 's3'))).toBe('second')
   })
 
-  it('is as ever in a deployment of one region: first in the data centre, then all others', () => {
+  it('puts the data centre first and all others second in a deployment of one region', () => {
     for (const regions of [undefined, { n1: 'north', n2: 'north' }]) {
-      expect(nearnessOf('n1', ['n1', 'n2'], regions).turnFor(linkTo('e-1', 'n1'))).toBe('first')
-      expect(nearnessOf('n1', ['n1', 'n2'], regions).turnFor(linkTo('e-1', 'n2'))).toBe('second')
+      expect(createNearness('n1', ['n1', 'n2'], regions).turnFor(linkTo('e-1', 'n1'))).toBe('first')
+      expect(createNearness('n1', ['n1', 'n2'], regions).turnFor(linkTo('e-1', 'n2'))).toBe('second')
     }
   })
 })
--- a/control/program/test/work-relay.test.ts
+++ b/control/program/test/work-relay.test.ts
@@ -5,11 +5,11 @@
 import { WorkRelay } from '../src/work-relay.ts'
 
 const ENTRIES = 60
-/** Longer than the time within which changes are told together, in ms. */
+/** Longer than the publishing interval, in ms. */
 const AFTER_SPACING_MS = 50
 
 class FakeLink {
-  readonly told: Array<MessageOf<'workSums'>> = []
+  readonly sums: Array<MessageOf<'workSums'>> = []
   readonly readings: Reading[] = []
   readonly peer: { name: string, role: string, dataCentre: string }
 
@@ -18,7 +18,7 @@
   }
 
   send (message: Message): boolean {
-    if (message.kind === 'workSums') this.told.push(message)
+    if (message.kind === 'workSums') this.sums.push(message)
     if (message.kind === 'readings') this.readings.push(...message.readings)
     return true
   }
@@ -30,28 +30,28 @@
 
 const REGIONS = { dc1: 'north', dc2: 'north', dc9: 'south' }
 
-function relayWith (links: readonly FakeLink[]): WorkRelay {
+function createRelay (links: readonly FakeLink[]): WorkRelay {
   const peers = { links: () => links.map(({ asLink }) => asLink) }
   return new WorkRelay({ peers: peers as never, nearness: new Nearness({ settings: { dataCentre: 'dc1', member: 'c1', regions: REGIONS }, peers }) })
 }
 
-function workAt (incarnation: string): MessageOf<'work'> {
+function createLoad (incarnation: string): MessageOf<'work'> {
   return { kind: 'work', works: [{ incarnation, unread: [], running: 1, strain: 0, sensitive: 0, unreachable: 0 }], holdings: [], observations: [], listens: true }
 }
 
-describe('what an entry hears of the others', () => {
+describe('WorkRelay', () => {
   const peer = new FakeLink('control-2', 'control')
   let relay: WorkRelay
   let entries: FakeLink[]
 
   beforeEach(() => {
     vi.useFakeTimers()
-    peer.told.length = 0
-    relay = relayWith([peer])
+    peer.sums.length = 0
+    relay = createRelay([peer])
     relay.start()
     entries = Array.from({ length: ENTRIES }, (_unused, index) => new FakeLink(`entry-${index}`))
-    for (const entry of entries) relay.fromEntry(entry.asLink, { ...workAt('i-0'), works: [] })
-    for (const entry of entries) entry.told.length = 0
+    for (const entry of entries) relay.fromEntry(entry.asLink, { ...createLoad('i-0'), works: [] })
+    for (const entry of entries) entry.sums.length = 0
   })
 
   afterEach(() => {
@@ -59,99 +59,99 @@
     vi.useRealTimers()
   })
 
-  it('does not grow with their number: what they tell at about the same time comes as one word', () => {
-    for (const entry of entries) relay.fromEntry(entry.asLink, workAt('i-1'))
+  it('sends changes of many entries that arrive at about the same time as one message', () => {
+    for (const entry of entries) relay.fromEntry(entry.asLink, createLoad('i-1'))
     vi.advanceTimersByTime(AFTER_SPACING_MS)
     for (const entry of entries) {
-      expect(entry.told.map(({ works }) => works)).toEqual([[{ incarnation: 'i-1', unread: [], running: ENTRIES - 1, strain: 0, sensitive: 0, unreachable: 0 }]])
+      expect(entry.sums.map(({ works }) => works)).toEqual([[{ incarnation: 'i-1', unread: [], running: ENTRIES - 1, strain: 0, sensitive: 0, unreachable: 0 }]])
     }
-    expect(peer.told.map(({ works }) => works)).toEqual([[{ incarnation: 'i-1', unread: [], running: ENTRIES, strain: 0, sensitive: 0, unreachable: 0 }]])
+    expect(peer.sums.map(({ works }) => works)).toEqual([[{ incarnation: 'i-1', unread: [], running: ENTRIES, strain: 0, sensitive: 0, unreachable: 0 }]])
   })
 
-  it('comes at once after a pause, and then within the spacing', () => {
+  it('publishes at once after a pause, and later changes after the interval', () => {
     vi.advanceTimersByTime(AFTER_SPACING_MS)
-    relay.fromEntry((entries[0] as FakeLink).asLink, workAt('i-1'))
+    relay.fromEntry((entries[0] as FakeLink).asLink, createLoad('i-1'))
     vi.advanceTimersByTime(1)
-    expect(entries[1]?.told).toHaveLength(1)
-    relay.fromEntry((entries[2] as FakeLink).asLink, workAt('i-1'))
+    expect(entries[1]?.sums).toHaveLength(1)
+    relay.fromEntry((entries[2] as FakeLink).asLink, createLoad('i-1'))
     vi.advanceTimersByTime(1)
-    expect(entries[1]?.told).toHaveLength(1)
+    expect(entries[1]?.sums).toHaveLength(1)
     vi.advanceTimersByTime(AFTER_SPACING_MS)
-    expect(entries[1]?.told).toHaveLength(2)
+    expect(entries[1]?.sums).toHaveLength(2)
   })
 
-  it('tells from how many peers its control process hears, and of none that has fallen silent', () => {
+  it('includes the number of active peers, without silent peers', () => {
     relay.fromPeer(peer.asLink, { kind: 'workSums', whole: true, peers: 0, works: [], holdings: [] })
-    relay.fromEntry((entries[0] as FakeLink).asLink, workAt('i-1'))
+    relay.fromEntry((entries[0] as FakeLink).asLink, createLoad('i-1'))
     vi.advanceTimersByTime(AFTER_SPACING_MS)
-    expect(entries[1]?.told.at(-1)?.peers).toBe(1)
+    expect(entries[1]?.sums.at(-1)?.peers).toBe(1)
     for (let second = 0; second < 4; second += 1) {
       vi.advanceTimersByTime(1000)
-      for (const entry of entries) relay.fromEntry(entry.asLink, { ...workAt('i-0'), works: [] })
+      for (const entry of entries) relay.fromEntry(entry.asLink, { ...createLoad('i-0'), works: [] })
     }
-    expect(entries[1]?.told.at(-1)?.peers).toBe(0)
-    expect(peer.told.length).toBeGreaterThanOrEqual(4)
+    expect(entries[1]?.sums.at(-1)?.peers).toBe(0)
+    expect(peer.sums.length).toBeGreaterThanOrEqual(4)
   })
 
-  it('crosses to another region rarely, and then all of it in one word', () => {
+  it('publishes rarely to another region, with all changes in one message', () => {
     const far = new FakeLink('control-9', 'control', 'dc9')
-    const both = relayWith([peer, far])
-    for (const entry of entries) both.fromEntry(entry.asLink, { ...workAt('i-0'), works: [] })
+    const relayToBoth = createRelay([peer, far])
+    for (const entry of entries) relayToBoth.fromEntry(entry.asLink, { ...createLoad('i-0'), works: [] })
     vi.advanceTimersByTime(1000)
-    far.told.length = 0
-    for (let word = 1; word <= 20; word += 1) {
-      both.fromEntry((entries[0] as FakeLink).asLink, workAt(`i-${word}`))
+    far.sums.length = 0
+    for (let index = 1; index <= 20; index += 1) {
+      relayToBoth.fromEntry((entries[0] as FakeLink).asLink, createLoad(`i-${index}`))
       vi.advanceTimersByTime(50)
     }
     vi.advanceTimersByTime(300)
-    expect(peer.told.length).toBeGreaterThan(15)
-    expect(far.told.length).toBeLessThanOrEqual(6)
-    const known = new Map(far.told.flatMap(({ works }) => works).map(({ incarnation, running }) => [incarnation, running]))
+    expect(peer.sums.length).toBeGreaterThan(15)
+    expect(far.sums.length).toBeLessThanOrEqual(6)
+    const known = new Map(far.sums.flatMap(({ works }) => works).map(({ incarnation, running }) => [incarnation, running]))
     expect(known.get('i-20')).toBe(1)
     expect([...known.values()].reduce((sum, running) => sum + running, 0)).toBe(1)
-    both.stop()
+    relayToBoth.stop()
   })
 
-  it('is told the sooner the fewer they are', () => {
-    const few = relayWith([])
+  it('publishes after a shorter interval if there are fewer entries', () => {
+    const relayToFew = createRelay([])
     const [one, two] = [new FakeLink('one'), new FakeLink('two')]
-    for (const entry of [one, two]) few.fromEntry(entry.asLink, { ...workAt('i-0'), works: [] })
-    one.told.length = 0
-    for (let word = 1; word <= 3; word += 1) {
-      few.fromEntry(two.asLink, workAt(`i-${word}`))
+    for (const entry of [one, two]) relayToFew.fromEntry(entry.asLink, { ...createLoad('i-0'), works: [] })
+    one.sums.length = 0
+    for (let index = 1; index <= 3; index += 1) {
+      relayToFew.fromEntry(two.asLink, createLoad(`i-${index}`))
       vi.advanceTimersByTime(6)
-      expect(one.told).toHaveLength(word)
+      expect(one.sums).toHaveLength(index)
     }
-    few.stop()
+    relayToFew.stop()
   })
 
-  it('is nothing where only its own work has changed', () => {
-    relay.fromEntry((entries[0] as FakeLink).asLink, workAt('i-1'))
+  it('sends nothing to an entry if only its own load has changed', () => {
+    relay.fromEntry((entries[0] as FakeLink).asLink, createLoad('i-1'))
     vi.advanceTimersByTime(AFTER_SPACING_MS)
-    expect(entries[0]?.told).toEqual([])
-    expect(entries[1]?.told).toHaveLength(1)
+    expect(entries[0]?.sums).toEqual([])
+    expect(entries[1]?.sums).toHaveLength(1)
   })
 
-  it('is how an engine reads, once a few of them saw it: none of them needs to meet it often', () => {
+  it('publishes the stream pause of an endpoint after a few entries have observed it', () => {
     for (const entry of entries.slice(0, 20)) {
-      relay.fromEntry(entry.asLink, { ...workAt('i-1'), observations: [{ incarnation: 'i-1', pauses: [320], reads: [] }] })
+      relay.fromEntry(entry.asLink, { ...createLoad('i-1'), observations: [{ incarnation: 'i-1', pauses: [320], reads: [] }] })
     }
     vi.advanceTimersByTime(1000)
-    const learnt = entries[50]?.readings.at(-1)
-    expect(learnt?.incarnation).toBe('i-1')
-    expect(learnt?.pauseMs).toBeGreaterThan(300)
+    const reading = entries[50]?.readings.at(-1)
+    expect(reading?.incarnation).toBe('i-1')
+    expect(reading?.pauseMs).toBeGreaterThan(300)
     expect(entries[50]?.readings.length).toBeLessThanOrEqual(4)
   })
 
-  it('forgets an entry that tells nothing any more, and goes on telling those that do', () => {
-    relay.fromEntry((entries[0] as FakeLink).asLink, workAt('i-1'))
+  it('removes a silent entry, and continues to publish to the active entries', () => {
+    relay.fromEntry((entries[0] as FakeLink).asLink, createLoad('i-1'))
     for (let second = 0; second < 4; second += 1) {
       vi.advanceTimersByTime(1000)
-      for (const entry of entries.slice(1)) relay.fromEntry(entry.asLink, { ...workAt('i-0'), works: [] })
+      for (const entry of entries.slice(1)) relay.fromEntry(entry.asLink, { ...createLoad('i-0'), works: [] })
     }
     vi.advanceTimersByTime(AFTER_SPACING_MS)
-    expect(entries[1]?.told.flatMap(({ works }) => works).at(-1)).toMatchObject({ incarnation: 'i-1', running: 0 })
-    expect(entries[1]?.told.length).toBeGreaterThanOrEqual(4)
-    expect(entries[0]?.told.length).toBeLessThanOrEqual(4)
+    expect(entries[1]?.sums.flatMap(({ works }) => works).at(-1)).toMatchObject({ incarnation: 'i-1', running: 0 })
+    expect(entries[1]?.sums.length).toBeGreaterThanOrEqual(4)
+    expect(entries[0]?.sums.length).toBeLessThanOrEqual(4)
   })
 })
