--- a/control/program/src/call-budget.ts
+++ b/control/program/src/call-budget.ts
@@ -1,54 +1,54 @@
-/** How many calls a duty makes: a bounded rate, and pauses that grow while calls fail. The time is an argument. */
+/** Limits the calls of one reporting or scaling task by a token bucket, and by a growing backoff while calls fail. Time is an argument. */
 
-/** The share of the rate that one duty uses: the rest is for the other duties and for a former holder's last calls. */
-const SHARE = 0.5
-/** So much may be saved up, in s. */
-const SAVED_S = 0.5
-/** The first pause after a call that failed, doubled each time, with jitter. In ms. */
+/** Share of the allowed rate that one task uses. Other tasks and the last calls of a previous lease holder use the remaining share. */
+const RATE_SHARE = 0.5
+/** Capacity of the token bucket, in seconds of the rate. */
+const BURST_S = 0.5
+/** Backoff after the first failed call, in ms. The backoff doubles with each further failure and has jitter. */
 const FIRST_BACKOFF_MS = 500
 const MAX_BACKOFF_MS = 5000
 const MS_PER_S = 1000
 
 export class CallBudget {
-  private readonly perMs: number
-  private readonly most: number
-  private saved: number
-  private savedAt = -Infinity
+  private readonly callsPerMs: number
+  private readonly capacity: number
+  private tokens: number
+  private updatedAt = -Infinity
   private backoffMs = FIRST_BACKOFF_MS
-  private nextTryAt = -Infinity
+  private retryAt = -Infinity
 
-  /** @param callsPerSecond what the outside takes from all duties together */
+  /** @param callsPerSecond limit of the external system for the calls of all tasks together */
   constructor (callsPerSecond: number, private readonly random: () => number = Math.random) {
-    this.perMs = SHARE * callsPerSecond / MS_PER_S
-    this.most = Math.max(1, SHARE * callsPerSecond * SAVED_S)
-    this.saved = this.most
+    this.callsPerMs = RATE_SHARE * callsPerSecond / MS_PER_S
+    this.capacity = Math.max(1, RATE_SHARE * callsPerSecond * BURST_S)
+    this.tokens = this.capacity
   }
 
-  /** Whether the pause after a failure is over. */
+  /** Whether the backoff after a failure is over. */
   mayTry (now: number): boolean {
-    return now >= this.nextTryAt
+    return now >= this.retryAt
   }
 
   mayCall (now: number): boolean {
-    return this.mayTry(now) && this.savedBy(now) >= 1
+    return this.mayTry(now) && this.tokensAt(now) >= 1
   }
 
   noteCall (now: number): void {
-    this.saved = this.savedBy(now) - 1
-    this.savedAt = now
+    this.tokens = this.tokensAt(now) - 1
+    this.updatedAt = now
   }
 
   noteAnswer (): void {
     this.backoffMs = FIRST_BACKOFF_MS
   }
 
-  /** @param leastMs for how long the outside has asked for no more calls */
+  /** @param leastMs shortest backoff, as requested by the external system, in ms */
   backOff (now: number, leastMs = 0): void {
-    this.nextTryAt = now + Math.max(leastMs, this.backoffMs * (0.5 + this.random()))
+    this.retryAt = now + Math.max(leastMs, this.backoffMs * (0.5 + this.random()))
     this.backoffMs = Math.min(MAX_BACKOFF_MS, 2 * this.backoffMs)
   }
 
-  private savedBy (now: number): number {
-    return Math.min(this.most, this.saved + (now - this.savedAt) * this.perMs)
+  private tokensAt (now: number): number {
+    return Math.min(this.capacity, this.tokens + (now - this.updatedAt) * this.callsPerMs)
   }
 }
--- a/control/program/src/demand-history.ts
+++ b/control/program/src/demand-history.ts
@@ -1,35 +1,36 @@
-/** What was seen of one demand over time, and what that lets expect. The time is that of the samples. */
+/** Records the load of one service in one data centre over time, and forecasts it. Time is the time of the samples. */
 
 export interface DemandSample {
   at: number
-  /** How many endpoints the demand keeps as busy as they are meant to be. */
+  /** Number of endpoints that the demand keeps at the target utilisation. */
   load: number
-  /** The load when an endpoint that is ordered now will serve. */
+  /** Expected load at the time when an endpoint that is ordered now is ready. */
   foreseen: number
 }
 
 export interface NewSample extends Pick<DemandSample, 'at' | 'load'> {
-  /** How far is to be foreseen, in ms. */
+  /** Forecast horizon, in ms. */
   aheadMs: number
 }
 
 /**
- * The present load is the median over this time, in ms, of five looks: a jump shows whole at the third, where a mean would
- * climb to it over several orders, and a single outlier not at all.
+ * Window of the median that estimates the current load, in ms: five samples. The median shows a jump completely at the third sample
+ * and ignores a single outlier. A mean would reach the new level only over several orders.
  */
-const LEVEL_MS = 2000
-/** The trend is taken over a boot time, within these bounds, in ms: less is scatter, more is the past. */
-const LEAST_TREND_MS = 5000
-const MOST_TREND_MS = 60_000
+const LEVEL_WINDOW_MS = 2000
+/** Shortest window of the trend, in ms. The window is the boot time, limited by these bounds. A shorter window shows mostly scatter. */
+const MIN_TREND_WINDOW_MS = 5000
+/** Longest window of the trend, in ms. A longer window contains mostly outdated samples. */
+const MAX_TREND_WINDOW_MS = 60_000
 /**
- * A rise counts only where it is so many times the scatter about it. Over the 20 looks of 10 s normal scatter brings that once in
- * some 20,000 looks; at twice the scatter it was once in some 200. A slower rise is borne by the slots that are kept free.
+ * A rise counts as a trend only if it exceeds the scatter of the samples by this factor. Over the 20 samples of 10 s normal scatter
+ * alone reaches factor 3 about once in 20,000 samples, and factor 2 about once in 200. The free slots absorb a slower rise.
  */
-const CLEAR_RISE = 3
-/** It is taken no further than to so many times the present load: hardly any rise goes on for longer. */
-const MAX_GROWTH = 2
-/** After a longer pause between two looks what was before says nothing, in ms: the process was frozen. */
-const MAX_PAUSE_MS = 5000
+const MIN_RISE_TO_SCATTER = 3
+/** The forecast is limited to this multiple of the current load, since a rise rarely continues for longer. */
+const MAX_GROWTH_FACTOR = 2
+/** After a longer gap between two samples the earlier samples are discarded, in ms. The process was suspended in between. */
+const MAX_SAMPLE_GAP_MS = 5000
 
 export class DemandHistory {
   private samples: DemandSample[] = []
@@ -38,54 +39,54 @@
     return this.samples.at(-1)
   }
 
-  /** For how long the demand was watched; no longer than it is remembered. */
+  /** Time between the oldest kept sample and the newest one, in ms. */
   get spanMs (): number {
     const [first] = this.samples
     return first === undefined ? 0 : (this.newest?.at ?? 0) - first.at
   }
 
-  /** Whether too long has passed since the last sample. */
+  /** Whether the gap since the newest sample is too long. */
   isInterrupted (now: number): boolean {
-    return this.newest !== undefined && now - this.newest.at > MAX_PAUSE_MS
+    return this.newest !== undefined && now - this.newest.at > MAX_SAMPLE_GAP_MS
   }
 
   /**
-   * Takes a sample; what it lets foresee is added to it.
-   * @param keptMs for how long samples are remembered; the oldest is the last one that is not younger
+   * Adds a sample and computes its forecast.
+   * @param keptMs retention time of samples, in ms; the newest sample that is older than this is kept too
    */
   add ({ at, load, aheadMs }: NewSample, keptMs: number): void {
     const sample: DemandSample = { at, load, foreseen: load }
     this.samples.push(sample)
     sample.foreseen = this.foreseen(aheadMs)
-    const since = at - Math.max(keptMs, MOST_TREND_MS)
+    const since = at - Math.max(keptMs, MAX_TREND_WINDOW_MS)
     const firstKept = this.samples.findIndex(({ at }) => at > since)
     if (firstKept > 1) this.samples = this.samples.slice(firstKept - 1)
   }
 
-  /** The highest load that was foreseen within a time. */
+  /** Returns the highest forecast of the samples within a time, in ms. */
   mostForeseen (withinMs: number): number {
-    return this.since(withinMs).reduce((most, { foreseen }) => Math.max(most, foreseen), 0)
+    return this.samplesWithin(withinMs).reduce((most, { foreseen }) => Math.max(most, foreseen), 0)
   }
 
-  /** The load after a time ahead, if it rises on as it did; a fall is not expected to go on. */
+  /** Returns the expected load after `aheadMs`. The forecast continues a rise, but not a fall. */
   private foreseen (aheadMs: number): number {
-    const level = median(this.since(LEVEL_MS).map(({ load }) => load))
-    const trendMs = Math.min(MOST_TREND_MS, Math.max(LEAST_TREND_MS, aheadMs))
-    return Math.min(MAX_GROWTH * level, level + aheadMs * this.risePerMs(trendMs))
+    const level = median(this.samplesWithin(LEVEL_WINDOW_MS).map(({ load }) => load))
+    const trendMs = Math.min(MAX_TREND_WINDOW_MS, Math.max(MIN_TREND_WINDOW_MS, aheadMs))
+    return Math.min(MAX_GROWTH_FACTOR * level, level + aheadMs * this.findRisePerMs(trendMs))
   }
 
-  /** How fast the load rises; 0 where it falls, or rises no more than the scatter explains, or has only jumped. */
-  private risePerMs (overMs: number): number {
+  /** Returns the slope of a rise. Returns 0 if the load falls, has only jumped, or rises no more than the scatter explains. */
+  private findRisePerMs (overMs: number): number {
     if (this.spanMs < overMs / 2) return 0
-    const samples = this.since(overMs)
-    const { slope, rise, scatter } = lineThrough(samples)
-    if (rise <= CLEAR_RISE * scatter) return 0
-    // A jump lies in one of the halves; a rise that goes on is in both.
+    const samples = this.samplesWithin(overMs)
+    const { slope, rise, scatter } = fitLine(samples)
+    if (rise <= MIN_RISE_TO_SCATTER * scatter) return 0
+    // A jump affects one half of the samples, a continuing rise affects both.
     const half = samples.length >> 1
-    return Math.max(0, Math.min(slope, lineThrough(samples.slice(0, half)).slope, lineThrough(samples.slice(half)).slope))
+    return Math.max(0, Math.min(slope, fitLine(samples.slice(0, half)).slope, fitLine(samples.slice(half)).slope))
   }
 
-  private since (forMs: number): DemandSample[] {
+  private samplesWithin (forMs: number): DemandSample[] {
     const from = (this.newest?.at ?? 0) - forMs
     return this.samples.filter(({ at }) => at >= from)
   }
@@ -93,14 +94,14 @@
 
 interface Line {
   slope: number
-  /** From the first to the last sample. */
+  /** Rise of the line from the first to the last sample. */
   rise: number
-  /** The deviation of the samples from the line. */
+  /** Standard deviation of the samples from the line. */
   scatter: number
 }
 
-/** The best line through samples. */
-function lineThrough (samples: readonly DemandSample[]): Line {
+/** Returns the least-squares line through samples. */
+function fitLine (samples: readonly DemandSample[]): Line {
   const atMean = mean(samples.map(({ at }) => at))
   const loadMean = mean(samples.map(({ load }) => load))
   const spread = mean(samples.map(({ at }) => (at - atMean) ** 2))
--- a/control/program/src/order-calls.ts
+++ b/control/program/src/order-calls.ts
@@ -1,51 +1,52 @@
 /**
- * What is known of the calls that one process has made for its orders. A call that got no answer may be carried out seconds
- * later, after newer ones of the same token, and would put its older number back: the newer one is then sent once more.
+ * Tracks the calls that one process has made for its scaling orders. A call without a response may be executed seconds later, after
+ * newer calls with the same token, and would then restore an older number. The newest order is therefore sent again after such a
+ * call can no longer be executed.
  */
 import { type ScalingOrder } from '@gullwall/control.state'
 
-/** A call without an answer is carried out within this time or not at all, in ms: "seconds later", with room. */
-const LATE_MS = 20_000
+/** A call without a response is executed within this time or not at all, in ms. The time includes a margin over a few seconds. */
+const MAX_CALL_DELAY_MS = 20_000
 
-interface Doubt {
+interface UncertainCall {
   desired: number
   until: number
 }
 
-interface Calls {
+interface CallState {
   delivered: { token: number, order: number } | undefined
-  doubts: Doubt[]
+  uncertainCalls: UncertainCall[]
 }
 
 export class OrderCalls {
-  private readonly calls = new Map<string, Calls>()
+  private readonly calls = new Map<string, CallState>()
 
   /**
-   * Whether an order is to be sent: it was not answered under this token, or an older one may have been carried out since. Also
-   * a new holder sends what a former one had answered, as its higher token ends the calls of that one that are still under way.
+   * Whether an order must be sent: it was not delivered under this token, or an older call may have been executed later. A new lease
+   * holder also sends an order that the previous holder delivered, since the higher token invalidates the pending calls of that holder.
    */
   isDue (key: string, { number, desired }: ScalingOrder, token: number, now: number): boolean {
-    const { delivered, doubts } = this.of(key)
+    const { delivered, uncertainCalls } = this.stateOf(key)
     if (delivered?.token !== token || delivered.order !== number) return true
-    return doubts.some((doubt) => doubt.desired !== desired && doubt.until <= now)
+    return uncertainCalls.some((call) => call.desired !== desired && call.until <= now)
   }
 
   noteDelivered (key: string, { number }: ScalingOrder, token: number, now: number): void {
-    const doubts = this.of(key).doubts.filter(({ until }) => until > now)
-    this.calls.set(key, { delivered: { token, order: number }, doubts })
+    const uncertainCalls = this.stateOf(key).uncertainCalls.filter(({ until }) => until > now)
+    this.calls.set(key, { delivered: { token, order: number }, uncertainCalls })
   }
 
   noteFailed (key: string, { desired }: ScalingOrder, now: number): void {
-    const { delivered, doubts } = this.of(key)
-    const others = doubts.filter((doubt) => doubt.desired !== desired)
-    this.calls.set(key, { delivered, doubts: [...others, { desired, until: now + LATE_MS }] })
+    const { delivered, uncertainCalls } = this.stateOf(key)
+    const others = uncertainCalls.filter((call) => call.desired !== desired)
+    this.calls.set(key, { delivered, uncertainCalls: [...others, { desired, until: now + MAX_CALL_DELAY_MS }] })
   }
 
   forget (key: string): void {
     this.calls.delete(key)
   }
 
-  private of (key: string): Calls {
-    return this.calls.get(key) ?? { delivered: undefined, doubts: [] }
+  private stateOf (key: string): CallState {
+    return this.calls.get(key) ?? { delivered: undefined, uncertainCalls: [] }
   }
 }
--- a/control/program/src/paced-action.ts
+++ b/control/program/src/paced-action.ts
@@ -1,18 +1,18 @@
-/** An action that many events ask for and that one run serves for all of them. */
+/** Throttles an action: one run serves all requests that arrive within the interval. */
 
 export class PacedAction {
   private timer: NodeJS.Timeout | undefined
-  private ranAt = -Infinity
+  private lastRunAt = -Infinity
 
   /**
-   * @param spacingMs gives the shortest time between two runs; the first after a pause comes in the next turn of the event loop
+   * @param spacingMs the shortest interval between two runs, in ms; the first run after a pause starts in the next event loop turn
    */
   constructor (private readonly spacingMs: () => number, private readonly run: () => void) {}
 
-  /** Has the action run soon; what asks for it until then is served by the same run. */
+  /** Schedules a run. The run also serves all requests that arrive before it starts. */
   request (): void {
     if (this.timer !== undefined) return
-    const waitMs = Math.max(0, this.ranAt + this.spacingMs() - performance.now())
+    const waitMs = Math.max(0, this.lastRunAt + this.spacingMs() - performance.now())
     this.timer = setTimeout(() => this.runNow(), waitMs)
   }
 
@@ -23,7 +23,7 @@
 
   private runNow (): void {
     this.timer = undefined
-    this.ranAt = performance.now()
+    this.lastRunAt = performance.now()
     this.run()
   }
 }
--- a/control/program/src/scaling-demand.ts
+++ b/control/program/src/scaling-demand.ts
@@ -1,4 +1,4 @@
-/** What control sees of the demand for the services whose endpoints it orders, by service and data centre. */
+/** Computes the demand for the services whose endpoints this process orders, by service and data centre. */
 import { type RoutingDocument, type Scaling } from '@gullwall/config.document'
 import { type HeldLease, type LeaseTable } from '@gullwall/control.registry'
 import { ReadingObserver } from '@gullwall/routing.balancer'
@@ -6,7 +6,7 @@
 import { type Demand } from './scaling-policy.ts'
 import { type AllWork } from './work-relay.ts'
 
-/** The demand for a service in a data centre where it runs. */
+/** The demand for a service in a data centre that has endpoints of the service. */
 export interface SeenDemand {
   service: string
   dataCentre: string
@@ -21,51 +21,51 @@
   isWhole: boolean
 }
 
-/** The share of the shortest target that may pass while prompts before are read: what is left is for reading and queues. */
-const WAIT_SHARE = 0.25
-/** The wait that is aimed at where no route names a target, in ms. */
-const DEFAULT_WAIT_MS = 250
-/** How fast an endpoint is taken to read that nobody has seen reading. */
-const UNKNOWN_TOKENS_PER_MS = new ReadingObserver().tokensPerMs
+/** Share of the shortest latency target that may pass while earlier prompts are read. The request's own prompt and queues take the rest. */
+const TARGET_WAIT_SHARE = 0.25
+/** Target wait of a service whose routes have no latency target, in ms. */
+const DEFAULT_TARGET_WAIT_MS = 250
+/** Assumed reading speed if none was observed, in tokens per ms. */
+const DEFAULT_TOKENS_PER_MS = new ReadingObserver().tokensPerMs
 
-/** Gives the demand at each data centre where an endpoint of a service with `scaling` is known. */
+/** Returns the demand for each service with `scaling` in each data centre where an endpoint of the service is known. */
 export function seeDemand (sources: DemandSources): SeenDemand[] {
   const { document, leases } = sources
   const present = leases.all().filter(({ state }) => state !== 'gone')
   const scaled = document.services.flatMap(({ name, scaling }) => scaling === undefined ? [] : [{ name, scaling }])
   return scaled.flatMap(({ name, scaling }) => {
-    const aimedWaitMs = aimedWaitOf(document, name)
+    const aimedWaitMs = findTargetWaitMs(document, name)
     const endpoints = present.filter(({ service }) => service === name)
     return [...new Set(endpoints.map(({ dataCentre }) => dataCentre))].map((dataCentre) => {
-      const held = endpoints.filter((lease) => lease.dataCentre === dataCentre)
-      return { service: name, dataCentre, scaling, demand: { ...demandAt(held, sources), aimedWaitMs } }
+      const endpointLeases = endpoints.filter((lease) => lease.dataCentre === dataCentre)
+      return { service: name, dataCentre, scaling, demand: { ...computeDemand(endpointLeases, sources), aimedWaitMs } }
     })
   })
 }
 
-/** Endpoints that leave count with what still runs there: what follows it comes to the others. */
-function demandAt (held: readonly HeldLease[], { leases, work, isWhole }: DemandSources): Omit<Demand, 'aimedWaitMs'> {
-  const names = new Set(held.map(({ incarnation }) => incarnation))
+/** Computes the demand of one data centre. Load at draining endpoints counts, since later requests go to the other endpoints. */
+function computeDemand (endpointLeases: readonly HeldLease[], { leases, work, isWhole }: DemandSources): Omit<Demand, 'aimedWaitMs'> {
+  const names = new Set(endpointLeases.map(({ incarnation }) => incarnation))
   const works = work.works.filter(({ incarnation }) => names.has(incarnation))
-  const speeds = work.readings.filter(({ incarnation }) => names.has(incarnation)).map(({ tokensPerMs }) => tokensPerMs)
-  const ready = held.filter(({ incarnation }) => leases.isUsable(incarnation))
+  const readingSpeeds = work.readings.filter(({ incarnation }) => names.has(incarnation)).map(({ tokensPerMs }) => tokensPerMs)
+  const ready = endpointLeases.filter(({ incarnation }) => leases.isUsable(incarnation))
   return {
     ready: ready.length,
     slots: sum(ready.map(({ slots }) => slots)),
     running: sum(works.map(({ running }) => running)),
-    unreadTokens: sum(works.map(unreadAt)),
-    tokensPerMs: speeds.length === 0 ? UNKNOWN_TOKENS_PER_MS : sum(speeds) / speeds.length,
+    unreadTokens: sum(works.map(sumUnreadTokens)),
+    tokensPerMs: readingSpeeds.length === 0 ? DEFAULT_TOKENS_PER_MS : sum(readingSpeeds) / readingSpeeds.length,
     isWhole
   }
 }
 
-function aimedWaitOf ({ routes }: RoutingDocument, service: string): number {
+function findTargetWaitMs ({ routes }: RoutingDocument, service: string): number {
   const targets = routes.filter(({ split }) => split.some((part) => part.service === service)).map(({ targetMs }) => targetMs)
-  const named = targets.filter((targetMs) => targetMs > 0)
-  return named.length === 0 ? DEFAULT_WAIT_MS : WAIT_SHARE * Math.min(...named)
+  const positiveTargets = targets.filter((targetMs) => targetMs > 0)
+  return positiveTargets.length === 0 ? DEFAULT_TARGET_WAIT_MS : TARGET_WAIT_SHARE * Math.min(...positiveTargets)
 }
 
-function unreadAt ({ unread }: WorkSummary): number {
+function sumUnreadTokens ({ unread }: WorkSummary): number {
   return sum(unread.map(({ tokens }) => tokens))
 }
 
--- a/control/program/src/scaling-orderer.ts
+++ b/control/program/src/scaling-orderer.ts
@@ -1,6 +1,7 @@
 /**
- * Orders endpoints by demand, from whichever control process holds the duty lease. An order is decided in the replicated log
- * before it is sent, so that whoever takes over goes on from it, and sends it again under its own token until it is answered.
+ * Orders endpoints by demand, from the control process that holds the lease. An order is decided in the replicated log before it is
+ * sent. After a change of leader the new lease holder continues from the decided order and sends it with its own token until it is
+ * answered.
  */
 import { type DecideScalingCommand, type ScalingOrder, type ScalingOrders, type ScalingResult } from '@gullwall/control.state'
 import { messageOf } from '@gullwall/core.error'
@@ -17,23 +18,23 @@
 export interface ScalingOrdererOptions {
   lease: Pick<DutyLease, 'acquire' | 'isValid' | 'noteRefused' | 'observeTerm'>
   orders: Pick<ScalingOrders, 'of'>
-  /** Has an order decided in the replicated log. */
+  /** Decides an order in the replicated log. */
   decide: (command: DecideScalingCommand) => Promise<ScalingResult>
-  /** Looks at the demand now. */
+  /** Returns the current demand. */
   see: () => SeenDemand[]
-  /** None where nobody takes orders; then nothing is looked at. */
+  /** Receives the orders. If undefined, demand is not evaluated. */
   sink: ScalingSink | undefined
   holder: string
-  /** Calls that the outside takes in a second, those of all duties together. */
+  /** Limit of the external system for the calls of all tasks together. */
   callsPerSecond: number
   logger: Pick<Logger, 'info' | 'warn'>
   now?: () => number
 }
 
-/** How often demand is looked at, in ms: twice within the time that is taken for the present. */
-const LOOK_MS = 500
+/** Interval between two evaluations of the demand, in ms. */
+const EVALUATION_INTERVAL_MS = 500
 
-interface Subject extends SeenDemand {
+interface ScaledService extends SeenDemand {
   key: string
   policy: ScalingPolicy
 }
@@ -45,7 +46,7 @@
 }
 
 export class ScalingOrderer {
-  private readonly subjects = new Map<string, Subject>()
+  private readonly scaledServices = new Map<string, ScaledService>()
   private readonly calls = new OrderCalls()
   private readonly budget: CallBudget
   private readonly now: () => number
@@ -59,7 +60,7 @@
   }
 
   start (): void {
-    if (this.options.sink !== undefined) this.timer = setInterval(() => { void this.look() }, LOOK_MS)
+    if (this.options.sink !== undefined) this.timer = setInterval(() => { void this.look() }, EVALUATION_INTERVAL_MS)
   }
 
   stop (): void {
@@ -68,95 +69,95 @@
 
   addMetrics (registry: Registry): void {
     this.metrics = {
-      decisions: counter(registry, 'gullwall_scaling_decisions_total', 'Orders of endpoints that were decided here', ['direction']),
-      calls: counter(registry, 'gullwall_scaling_calls_total', 'Calls that ordered endpoints, by what became of them', ['outcome']),
+      decisions: counter(registry, 'gullwall_scaling_decisions_total', 'Orders of endpoints that were decided by this process', ['direction']),
+      calls: counter(registry, 'gullwall_scaling_calls_total', 'Calls that ordered endpoints, by outcome', ['outcome']),
       desired: gauge(registry, 'gullwall_scaling_desired_endpoints', 'Endpoints that were last ordered', ['service', 'data_centre'])
     }
   }
 
-  /** Looks at the demand, in every process, so that one that takes over knows its past; then acts if this one may. */
+  /** Records the demand, so that every process knows its history. Decides and sends orders if this process leads. */
   async look (): Promise<void> {
     const term = this.options.lease.observeTerm()
-    this.observe()
+    this.recordDemand()
     if (term === undefined || this.isBusy) return
     this.isBusy = true
     try {
-      await this.act()
+      await this.processOrders()
     } catch (error) {
-      // One look that fails must not end the process, which other duties and all gateways depend on.
+      // A failed evaluation must not end the process, because other tasks and all gateways depend on it.
       this.options.logger.warn({ channel: 'process', event: 'failed', why: `endpoints are not ordered: ${messageOf(error)}` })
     } finally {
       this.isBusy = false
     }
   }
 
-  private observe (): void {
+  private recordDemand (): void {
     const now = this.now()
-    const seen = new Set<string>()
+    const observedKeys = new Set<string>()
     for (const part of this.options.see()) {
       const key = JSON.stringify([part.service, part.dataCentre])
-      const policy = this.subjects.get(key)?.policy ?? new ScalingPolicy()
+      const policy = this.scaledServices.get(key)?.policy ?? new ScalingPolicy()
       policy.observe(part.demand, part.scaling, now)
-      this.subjects.set(key, { ...part, key, policy })
-      seen.add(key)
+      this.scaledServices.set(key, { ...part, key, policy })
+      observedKeys.add(key)
     }
-    for (const key of this.subjects.keys()) if (!seen.has(key)) this.forget(key)
+    for (const key of this.scaledServices.keys()) if (!observedKeys.has(key)) this.removeService(key)
   }
 
-  private forget (key: string): void {
-    this.subjects.delete(key)
+  private removeService (key: string): void {
+    this.scaledServices.delete(key)
     this.calls.forget(key)
   }
 
-  private async act (): Promise<void> {
-    for (const subject of [...this.subjects.values()]) {
-      if (!this.isDue(subject)) continue
+  private async processOrders (): Promise<void> {
+    for (const scaled of [...this.scaledServices.values()]) {
+      if (!this.isDue(scaled)) continue
       const fence = await this.options.lease.acquire()
       if (fence === undefined) return
       try {
-        await this.decide(subject)
+        await this.decide(scaled)
       } catch (error) {
-        this.log('postponed', subject, fence.token, `not decided: ${messageOf(error)}`)
+        this.log('postponed', scaled, fence.token, `not decided: ${messageOf(error)}`)
         this.budget.backOff(this.now())
         return
       }
-      const order = this.orderOf(subject)
-      if (order === undefined || !this.calls.isDue(subject.key, order, fence.token, this.now())) continue
+      const order = this.findOrder(scaled)
+      if (order === undefined || !this.calls.isDue(scaled.key, order, fence.token, this.now())) continue
       if (!this.budget.mayCall(this.now())) return
-      await this.send(subject, order, fence)
+      await this.send(scaled, order, fence)
     }
   }
 
-  /** Whether there is something to decide or to send; the quorum is asked for the fence only then. */
-  private isDue (subject: Subject): boolean {
+  /** Whether there is an order to decide or to send. The lease is acquired from the quorum only in this case. */
+  private isDue (scaled: ScaledService): boolean {
     const token = this.options.lease.observeTerm()
-    const order = this.orderOf(subject)
+    const order = this.findOrder(scaled)
     if (token === undefined || !this.budget.mayTry(this.now())) return false
-    return this.next(subject) !== undefined || (order !== undefined && this.calls.isDue(subject.key, order, token, this.now()))
+    return this.decideNext(scaled) !== undefined || (order !== undefined && this.calls.isDue(scaled.key, order, token, this.now()))
   }
 
-  private next ({ policy, scaling, ...subject }: Subject) {
-    return policy.decide(this.orderOf(subject)?.desired, scaling, this.now())
+  private decideNext ({ policy, scaling, ...scaled }: ScaledService) {
+    return policy.decide(this.findOrder(scaled)?.desired, scaling, this.now())
   }
 
-  private orderOf ({ service, dataCentre }: Pick<Subject, 'service' | 'dataCentre'>): ScalingOrder | undefined {
+  private findOrder ({ service, dataCentre }: Pick<ScaledService, 'service' | 'dataCentre'>): ScalingOrder | undefined {
     return this.options.orders.of(service, dataCentre)
   }
 
-  private async decide (subject: Subject): Promise<void> {
-    const next = this.next(subject)
+  private async decide (scaled: ScaledService): Promise<void> {
+    const next = this.decideNext(scaled)
     if (next === undefined) return
-    const { service, dataCentre, demand } = subject
-    const held = this.orderOf(subject)
+    const { service, dataCentre, demand } = scaled
+    const current = this.findOrder(scaled)
     const { isTaken } = await this.options.decide({
-      type: 'decide-scaling', service, dataCentre, desired: next.desired, seen: held?.number ?? 0
+      type: 'decide-scaling', service, dataCentre, desired: next.desired, seen: current?.number ?? 0
     })
     if (!isTaken) return
-    this.metrics?.decisions.inc({ direction: next.desired > (held?.desired ?? demand.ready) ? 'up' : 'down' })
-    this.log('decided', subject, this.options.lease.observeTerm() ?? 0, next.why)
+    this.metrics?.decisions.inc({ direction: next.desired > (current?.desired ?? demand.ready) ? 'up' : 'down' })
+    this.log('decided', scaled, this.options.lease.observeTerm() ?? 0, next.why)
   }
 
-  private async send (subject: Subject, order: ScalingOrder, fence: Fence): Promise<void> {
+  private async send (scaled: ScaledService, order: ScalingOrder, fence: Fence): Promise<void> {
     const { lease, sink, holder } = this.options
     if (sink === undefined || !lease.isValid(fence)) return
     const { service, dataCentre, desired } = order
@@ -164,34 +165,34 @@
     const outcome = await sink.order({ service, dataCentre, desired, holder, ...fence })
     this.metrics?.calls.inc({ outcome: outcome.type })
     this.metrics?.desired.set({ service, data_centre: dataCentre }, desired)
-    this.note(subject, order, fence.token, outcome)
+    this.recordOutcome(scaled, order, fence.token, outcome)
   }
 
-  private note (subject: Subject, order: ScalingOrder, token: number, outcome: DeliveryOutcome): void {
+  private recordOutcome (scaled: ScaledService, order: ScalingOrder, token: number, outcome: DeliveryOutcome): void {
     switch (outcome.type) {
       case 'delivered':
         this.budget.noteAnswer()
-        this.calls.noteDelivered(subject.key, order, token, this.now())
-        this.log('ordered', subject, token, 'taken')
+        this.calls.noteDelivered(scaled.key, order, token, this.now())
+        this.log('ordered', scaled, token, 'accepted')
         break
       case 'fenced':
         this.options.lease.noteRefused(token)
-        this.log('fenced', subject, token, 'a higher fencing token was seen; this term orders no more')
+        this.log('fenced', scaled, token, 'a higher fencing token was received; this process orders nothing more in this term')
         break
       case 'expired':
-        this.log('postponed', subject, token, 'the time of the fence was over before it was sent')
+        this.log('postponed', scaled, token, 'the lease expired before the order was sent')
         break
       case 'failed':
-        this.calls.noteFailed(subject.key, order, this.now())
-        this.log('postponed', subject, token, outcome.why)
+        this.calls.noteFailed(scaled.key, order, this.now())
+        this.log('postponed', scaled, token, outcome.why)
         this.budget.backOff(this.now(), outcome.backOffMs)
         break
     }
   }
 
-  private log (event: 'decided' | 'ordered' | 'postponed' | 'fenced', subject: Subject, token: number, why: string): void {
-    const { service, dataCentre } = subject
-    const order = this.orderOf(subject)
+  private log (event: 'decided' | 'ordered' | 'postponed' | 'fenced', scaled: ScaledService, token: number, why: string): void {
+    const { service, dataCentre } = scaled
+    const order = this.findOrder(scaled)
     const record = { channel: 'scaling', event, service, dataCentre, desired: order?.desired ?? 0, order: order?.number ?? 0, token, why } as const
     if (event === 'postponed' || event === 'fenced') this.options.logger.warn(record)
     else this.options.logger.info(record)
--- a/control/program/src/scaling-policy.ts
+++ b/control/program/src/scaling-policy.ts
@@ -1,113 +1,115 @@
 /**
- * How many endpoints a service should have in one data centre. It answers demand that rises within a boot time or jumps at
- * once, falls slowly, and scatters: up at the first look that shows it, ahead by the trend; down only after the demand has
- * stayed lower for several boot times. No sockets and no timers; the time is an argument.
+ * Decides how many endpoints a service should have in one data centre. The number is raised at the first sample that shows a higher
+ * demand, and ahead of a rising trend by one boot time. It is lowered only after the demand was lower for several boot times, so that
+ * scatter does not change it. The policy has no sockets and no timers; time is an argument.
  */
 import { type Scaling } from '@gullwall/config.document'
 import { DemandHistory } from './demand-history.ts'
 
-/** What is seen of a service in a data centre at one look. */
+/** One sample of the demand for a service in a data centre. */
 export interface Demand {
-  /** Endpoints that take work. */
+  /** Number of endpoints that accept requests. */
   ready: number
-  /** Slots of all of these. */
+  /** Total slots of these endpoints. */
   slots: number
+  /** Requests in progress. */
   running: number
-  /** Prompt tokens that were sent there and are probably not read yet. */
+  /** Prompt tokens that were sent to the endpoints and are probably not read yet. */
   unreadTokens: number
-  /** How fast one endpoint reads. */
+  /** Reading speed of one endpoint. */
   tokensPerMs: number
-  /** The wait for the reading of prompts that is aimed at, in ms. */
+  /** Target for the wait until earlier prompts are read, in ms. */
   aimedWaitMs: number
-  /** Whether every control process has told what its entries have under way; a part of the demand looks like a lower one. */
+  /** Whether the load of the entries of all control processes is included. Partial data looks like a lower demand. */
   isWhole: boolean
 }
 
 export interface ScalingDecision {
   desired: number
-  /** The inputs, for the log. */
+  /** The inputs of the decision, for the log. */
   why: string
 }
 
 /**
- * The share of the slots that is meant to be taken. The rest bears what comes within a look and the scatter of arrivals; at
- * full slots demand can't be seen, since what waits does so before the endpoints, and this share then lets the number grow by 1.4.
+ * Target share of used slots. The free slots absorb the arrivals until the next sample and their scatter. At full slots the demand is
+ * not visible, since requests wait before they reach the endpoints. The share then lets the number grow by a factor of 1.4.
  */
-const BUSY_SHARE = 0.7
-/** So much of an endpoint is not worth one, as scatter about a whole number would order it. */
-const NEGLIGIBLE = 0.1
-/** An endpoint is kept where the highest load was within this of needing it, as a share of the load and at least of one endpoint. */
-const KEEP_SHARE = 0.1
-const LEAST_KEEP = 0.25
-/** Demand must have been lower for so many boot times before fewer are ordered: an endpoint that comes back costs one. */
-const HOLD_BOOTS = 4
-/** It is no shorter where endpoints boot fast, in ms: requests of a minute's streams come and go together. */
-const LEAST_HOLD_MS = 60_000
-/** Nor longer than this where they boot slowly, in ms; it bounds what is remembered. */
-const MOST_HOLD_MS = 1_800_000
-/** Nothing is decided before so much was seen, in ms: two heartbeats, after which all endpoints are known. */
-const SETTLE_MS = 5000
+const TARGET_UTILISATION = 0.7
+/** A fraction of an endpoint below this is rounded down. Otherwise scatter around a whole number would order another endpoint. */
+const ROUNDING_TOLERANCE = 0.1
+/** Margin above the highest load that is kept when the number is lowered, as a share of the load. */
+const SCALE_DOWN_MARGIN_SHARE = 0.1
+/** Smallest margin above the highest load, in endpoints. */
+const MIN_SCALE_DOWN_MARGIN = 0.25
+/** Stabilisation time before the number is lowered, in boot times. An endpoint that is needed again costs one boot time. */
+const STABILISATION_BOOTS = 4
+/** Shortest stabilisation time, in ms. Streams that last about a minute start and end together. */
+const MIN_STABILISATION_MS = 60_000
+/** Longest stabilisation time, in ms. It bounds the number of kept samples. */
+const MAX_STABILISATION_MS = 1_800_000
+/** Shortest observation time before a decision, in ms. It covers two heartbeats, after which all endpoints are known. */
+const MIN_OBSERVATION_MS = 5000
 
 export class ScalingPolicy {
   private history = new DemandHistory()
   private latest: Demand | undefined
-  private slotsEach = 1
-  private wholeSince: number | undefined
+  private slotsPerEndpoint = 1
+  private completeSince: number | undefined
 
-  /** Takes a look at the demand. */
+  /** Adds a sample of the demand. */
   observe (demand: Demand, scaling: Scaling, now: number): void {
-    if (demand.ready > 0) this.slotsEach = Math.max(1, demand.slots / demand.ready)
+    if (demand.ready > 0) this.slotsPerEndpoint = Math.max(1, demand.slots / demand.ready)
     if (this.history.isInterrupted(now)) {
       this.history = new DemandHistory()
-      this.wholeSince = undefined
+      this.completeSince = undefined
     }
     this.latest = demand
-    this.wholeSince = demand.isWhole ? this.wholeSince ?? now : undefined
+    this.completeSince = demand.isWhole ? this.completeSince ?? now : undefined
     this.history.add({ at: now, load: this.loadOf(demand), aheadMs: scaling.bootMs }, holdMsOf(scaling))
   }
 
   /**
-   * Gives the next order, where one is due.
-   * @param ordered the number that was ordered last; none if there was no order yet
+   * Returns the next order, or undefined if the number should not change.
+   * @param ordered the number of the last order; undefined if there was none
    */
   decide (ordered: number | undefined, scaling: Scaling, now: number): ScalingDecision | undefined {
     const { latest, history } = this
     const newest = history.newest
-    if (latest === undefined || newest === undefined || history.spanMs < SETTLE_MS) return undefined
-    const held = ordered ?? latest.ready
-    const wanted = within(scaling, Math.ceil(newest.foreseen - NEGLIGIBLE))
-    if (wanted > held) return { desired: wanted, why: this.explain(held, 'up', now) }
-    const holdMs = holdMsOf(scaling)
-    // What boots is there for a demand that may only be waiting for it.
-    const isBooting = latest.ready < held
-    const isWhole = this.wholeSince !== undefined && now - this.wholeSince >= SETTLE_MS
-    if (isBooting || !isWhole || history.spanMs < holdMs) return undefined
-    const most = history.mostForeseen(holdMs)
-    const kept = within(scaling, Math.ceil(most + Math.max(LEAST_KEEP, KEEP_SHARE * most)))
-    return kept < held ? { desired: kept, why: this.explain(held, `not more for ${holdMs} ms`, now) } : undefined
+    if (latest === undefined || newest === undefined || history.spanMs < MIN_OBSERVATION_MS) return undefined
+    const current = ordered ?? latest.ready
+    const required = clampToLimits(scaling, Math.ceil(newest.foreseen - ROUNDING_TOLERANCE))
+    if (required > current) return { desired: required, why: this.explain(current, 'up', now) }
+    const stabilisationMs = holdMsOf(scaling)
+    // The demand may be low only because requests wait for the endpoints that are booting.
+    const isBooting = latest.ready < current
+    const isWhole = this.completeSince !== undefined && now - this.completeSince >= MIN_OBSERVATION_MS
+    if (isBooting || !isWhole || history.spanMs < stabilisationMs) return undefined
+    const maxForecast = history.mostForeseen(stabilisationMs)
+    const lower = clampToLimits(scaling, Math.ceil(maxForecast + Math.max(MIN_SCALE_DOWN_MARGIN, SCALE_DOWN_MARGIN_SHARE * maxForecast)))
+    return lower < current ? { desired: lower, why: this.explain(current, `down after ${stabilisationMs} ms of lower demand`, now) } : undefined
   }
 
-  /** How many endpoints the demand keeps as busy as they are meant to be. */
+  /** Returns the number of endpoints that the demand keeps at the target utilisation. */
   private loadOf ({ running, unreadTokens, tokensPerMs, aimedWaitMs }: Demand): number {
-    return Math.max(running / (this.slotsEach * BUSY_SHARE), unreadTokens / tokensPerMs / aimedWaitMs)
+    return Math.max(running / (this.slotsPerEndpoint * TARGET_UTILISATION), unreadTokens / tokensPerMs / aimedWaitMs)
   }
 
-  private explain (held: number, direction: string, now: number): string {
+  private explain (current: number, direction: string, now: number): string {
     const { ready, slots, running, unreadTokens, tokensPerMs, aimedWaitMs } = this.latest as Demand
     const { at, load, foreseen } = this.history.newest ?? { at: now, load: 0, foreseen: 0 }
     const waitMs = unreadTokens / tokensPerMs / Math.max(1, ready)
-    return `${direction} from ${held}: ${running} running on ${slots} slots of ${ready} ready, ${unreadTokens} tokens unread, ` +
-      `wait ${Math.round(waitMs)} ms of ${Math.round(aimedWaitMs)}, load ${load.toFixed(2)}, foreseen ${foreseen.toFixed(2)}, ` +
-      `seen ${Math.round(now - at)} ms ago, for ${Math.round(this.history.spanMs)} ms`
+    return `${direction} from ${current}: ${running} running on ${slots} slots of ${ready} ready, ${unreadTokens} tokens unread, ` +
+      `wait ${Math.round(waitMs)} ms of ${Math.round(aimedWaitMs)} ms, load ${load.toFixed(2)}, forecast ${foreseen.toFixed(2)}, ` +
+      `sampled ${Math.round(now - at)} ms ago, observed for ${Math.round(this.history.spanMs)} ms`
   }
 }
 
-/** For how long demand must have been lower. */
+/** Returns how long the demand must have been lower before the number is lowered, in ms. */
 export function holdMsOf ({ bootMs }: Pick<Scaling, 'bootMs'>): number {
-  return Math.min(MOST_HOLD_MS, Math.max(LEAST_HOLD_MS, HOLD_BOOTS * bootMs))
+  return Math.min(MAX_STABILISATION_MS, Math.max(MIN_STABILISATION_MS, STABILISATION_BOOTS * bootMs))
 }
 
-/** A data centre without an endpoint shows no demand and would never get one again; so one is left where any may be. */
-function within ({ min, max }: Scaling, wanted: number): number {
-  return Math.min(max, Math.max(min, 1, wanted))
+/** Limits a number to the bounds of the service. At least one endpoint stays, since a data centre without endpoints shows no demand. */
+function clampToLimits ({ min, max }: Scaling, count: number): number {
+  return Math.min(max, Math.max(min, 1, count))
 }
--- a/control/program/src/scaling-sink.ts
+++ b/control/program/src/scaling-sink.ts
@@ -1,12 +1,12 @@
-/** Where endpoints are ordered, outside of the deployment. An adapter brings one that speaks to it. */
+/** The external system from which endpoints are ordered. An adapter implements the interface. */
 import { type ScalingOrder } from '@gullwall/control.state'
 import { type DeliveryOutcome } from './usage-sink.ts'
 
-/** An order with who sends it and under which fencing token. */
+/** An order with its sender and fencing token. */
 export interface FencedOrder extends Pick<ScalingOrder, 'service' | 'dataCentre' | 'desired'> {
   holder: string
   token: number
-  /** From then on nothing is sent under this token, by the monotonic clock. */
+  /** Time from which nothing may be sent under this token, by the monotonic clock. */
   validUntil: number
 }
 
--- a/control/program/src/scaling-wiring.ts
+++ b/control/program/src/scaling-wiring.ts
@@ -1,14 +1,14 @@
-/** Puts the orderer of endpoints together from the services of a control process. */
+/** Creates the scaling controller from the services of a control process. */
 import { type RoutingDocument } from '@gullwall/config.document'
 import { type ControlServices } from './index.ts'
 import { DutyLease } from './duty-lease.ts'
 import { seeDemand, type SeenDemand } from './scaling-demand.ts'
 import { ScalingOrderer } from './scaling-orderer.ts'
 
-/** Makes the orderer; it does nothing where no settings or no sink are given, or no service has a `scaling`. */
+/** Creates the controller. It is inactive if the settings or the sink are missing, or if no service has `scaling`. */
 export function scalingOrdererOf (services: ControlServices): ScalingOrderer {
   const { settings, quorum, scalingSink, state, proposer, logger } = services
-  const watch = new DemandWatch(services)
+  const demandSource = new DemandSource(services)
   return new ScalingOrderer({
     lease: new DutyLease({
       leaseMs: settings.scaling?.leaseMs ?? Infinity,
@@ -17,7 +17,7 @@
     }),
     orders: state.scalingOrders,
     decide: async (command) => await proposer.decideScaling(command),
-    see: () => watch.see(),
+    see: () => demandSource.see(),
     sink: settings.scaling === undefined ? undefined : scalingSink,
     holder: settings.box,
     callsPerSecond: settings.scaling?.callsPerSecond ?? 1,
@@ -25,7 +25,7 @@
   })
 }
 
-class DemandWatch {
+class DemandSource {
   private revision: number | undefined
   private document: RoutingDocument | undefined
 
@@ -36,11 +36,11 @@
     if (document === undefined) return []
     const { leases, workRelay, quorum } = this.services
     const work = workRelay.everything()
-    const others = Object.keys(quorum.membership.voters).filter((name) => name !== quorum.name).length
-    return seeDemand({ document, leases, work, isWhole: work.peersHeard >= others })
+    const otherVoters = Object.keys(quorum.membership.voters).filter((name) => name !== quorum.name).length
+    return seeDemand({ document, leases, work, isWhole: work.peersHeard >= otherVoters })
   }
 
-  /** The document in force, read again only once a record has changed; none where no service in it has a `scaling`. */
+  /** Returns the active document, or undefined if no service in it has `scaling`. Parses it again only after a record has changed. */
   private scaledDocument (): RoutingDocument | undefined {
     const { state, format } = this.services
     if (this.revision === state.revision) return this.document
--- a/control/program/src/usage-reporter.ts
+++ b/control/program/src/usage-reporter.ts
@@ -1,6 +1,6 @@
 /**
- * Reports the usage of each window of the wall clock, once, from whichever control process holds the duty lease. What is
- * reported is decided in the replicated log before it is sent: whoever takes over sends the same.
+ * Reports the usage of each window of the wall clock once, from the control process that holds the lease. A report is decided in the
+ * replicated log before it is sent, so that a new lease holder sends the same report.
  */
 import { endOfWindow, SteadyWallClock, UsageTable, windowAt, type SourceWindow } from '@gullwall/control.usage'
 import { type UsageReport } from '@gullwall/control.state'
@@ -11,22 +11,23 @@
 import { type ControlServices } from './index.ts'
 import { UsageStore } from './usage-store.ts'
 
-/** How often the holder looks whether a report can be sent, in ms. */
-const LOOK_MS = 250
-/** After the end of a window the entries' last words of it are waited for, in ms: they tell each second, over busy links later. */
-const SETTLE_MS = 2500
-/** Where a peer does not answer, its entries tell another one within about this time, in ms; until then nothing is decided. */
-const INCOMPLETE_MS = 6000
+/** Interval at which the leader checks whether a report is due, in ms. */
+const CHECK_INTERVAL_MS = 250
+/** Delay of a report after the end of its window, in ms. Entries send their counts every second, and later over busy links. */
+const REPORT_DELAY_MS = 2500
+/** Time after the end of a window until a report is decided without all peers, in ms. Entries of a failed peer use another one by then. */
+const INCOMPLETE_TIMEOUT_MS = 6000
 const GATHER_TIMEOUT_MS = 400
-/** The first wait before a report that was not taken is sent again, doubled each time, with jitter. In ms. */
+/** Backoff after the first failed delivery, in ms. The backoff doubles with each further failure and has jitter. */
 const FIRST_BACKOFF_MS = 300
 const MAX_BACKOFF_MS = 2000
 
-/** The counts of so many windows are kept on the disk: the one under way, the one before and one whose report is late. */
-const KEPT_WINDOWS = 3
+/** Number of windows whose counts are stored on the disk: the current one, the previous one and one with a late report. */
+const STORED_WINDOWS = 3
 
-/** What is known of a window's usage, and whether every peer has answered. */
-interface Gathered {
+/** The result of collecting the usage of a window from the peers. */
+interface GatherResult {
+  /** Whether every peer has answered. */
   isComplete: boolean
 }
 
@@ -36,14 +37,14 @@
   private readonly startedAt = this.clock.now()
   private readonly lease: DutyLease
   private readonly store: UsageStore
-  /** The starts of entries that have told this process, now or before its restart. */
+  /** The entry starts that reported to this process, including those before its own restart. */
   private readonly localSources = new Set<string>()
   private timer: NodeJS.Timeout | undefined
   private isBusy = false
-  /** Whether the counts from before the start are known, if any. */
+  /** Whether the stored counts have been read. */
   private isRestored = false
   private backoffMs = FIRST_BACKOFF_MS
-  private nextTryAt = -Infinity
+  private retryAt = -Infinity
 
   constructor (private readonly services: ControlServices) {
     this.lease = new DutyLease({
@@ -51,7 +52,7 @@
       leadingTerm: () => services.quorum.role === 'leader' ? services.quorum.status().term : undefined,
       confirm: async () => await services.quorum.confirmRead()
     })
-    this.store = new UsageStore({ services, take: () => this.takeKept() })
+    this.store = new UsageStore({ services, take: () => this.takeStoredCounts() })
   }
 
   async start (): Promise<void> {
@@ -64,7 +65,7 @@
       this.table.merge(source, [{ window, counts }])
     }
     this.isRestored = true
-    this.timer = setInterval(() => { void this.look() }, LOOK_MS)
+    this.timer = setInterval(() => { void this.reportIfDue() }, CHECK_INTERVAL_MS)
   }
 
   stop (): void {
@@ -72,7 +73,7 @@
     this.store.stop()
   }
 
-  /** Takes what an entry has counted. */
+  /** Receives the counts of an entry. */
   fromEntry ({ peer }: Link, { windows }: MessageOf<'usage'>): void {
     const source = `${peer.name}/${peer.startId}`
     this.localSources.add(source)
@@ -81,26 +82,26 @@
   }
 
   /**
-   * Answers a peer that holds the lease.
-   * @throws ERR_GULLWALL_NOT_READY while the counts from before the start are not read: it would take the rest for all
+   * Returns the counts of a window for the peer that holds the lease.
+   * @throws ERR_GULLWALL_NOT_READY until the stored counts are read, because the peer would take partial counts for complete ones
    */
   partsOf (window: number): MessageOf<'usageParts'> {
     if (!this.isRestored) {
-      throw new GullwallError('ERR_GULLWALL_NOT_READY', 'the counts from before the start are not read yet', { step: 'tell usage', hint: 'ask again' })
+      throw new GullwallError('ERR_GULLWALL_NOT_READY', 'the stored counts are not read yet', { step: 'tell usage', hint: 'repeat the request' })
     }
     return { kind: 'usageParts', sources: this.table.sourcesOf(window) }
   }
 
-  /** What is written to the disk; sources without counts in any kept window are forgotten. */
-  private takeKept (): SourceWindow[] {
-    const kept = this.table.newest(KEPT_WINDOWS, (source) => this.localSources.has(source))
+  /** Returns the counts to store. Removes sources that have no counts in any stored window. */
+  private takeStoredCounts (): SourceWindow[] {
+    const stored = this.table.newest(STORED_WINDOWS, (source) => this.localSources.has(source))
     this.localSources.clear()
-    for (const { source } of kept) this.localSources.add(source)
-    return kept
+    for (const { source } of stored) this.localSources.add(source)
+    return stored
   }
 
-  private async look (): Promise<void> {
-    if (this.isBusy || this.services.quorum.role !== 'leader' || performance.now() < this.nextTryAt) return
+  private async reportIfDue (): Promise<void> {
+    if (this.isBusy || this.services.quorum.role !== 'leader' || performance.now() < this.retryAt) return
     this.isBusy = true
     try {
       await this.reportNext()
@@ -113,7 +114,7 @@
   }
 
   private async reportNext (): Promise<void> {
-    const window = this.nextWindow()
+    const window = this.findDueWindow()
     if (window === undefined) return
     const fence = await this.lease.acquire()
     if (fence === undefined) return
@@ -122,13 +123,13 @@
     await this.deliver(report, fence)
   }
 
-  /** The oldest window whose report is neither delivered nor overdue, once its last words have come. */
-  private nextWindow (): number | undefined {
+  /** Returns the oldest window whose report is neither delivered nor too late, if its last counts have had time to arrive. */
+  private findDueWindow (): number | undefined {
     const { windowMs, lateMs } = this.usage
     const { usageReports } = this.services.state
     const now = this.clock.now()
     const first = Math.max(windowAt(now - lateMs, windowMs), usageReports.isEmpty ? windowAt(this.startedAt, windowMs) : 0)
-    for (let window = first; endOfWindow(window, windowMs) + SETTLE_MS <= now; window += 1) {
+    for (let window = first; endOfWindow(window, windowMs) + REPORT_DELAY_MS <= now; window += 1) {
       if (usageReports.of(window)?.isDelivered !== true) return window
     }
     return undefined
@@ -137,11 +138,11 @@
   private async decide (window: number): Promise<UsageReport | undefined> {
     const { isComplete } = await this.gather(window)
     const ageMs = this.clock.now() - endOfWindow(window, this.usage.windowMs)
-    if (!isComplete && ageMs < INCOMPLETE_MS) return undefined
+    if (!isComplete && ageMs < INCOMPLETE_TIMEOUT_MS) return undefined
     return await this.services.proposer.decideUsage({ type: 'decide-usage', window, counts: this.table.totalOf(window) })
   }
 
-  private async gather (window: number): Promise<Gathered> {
+  private async gather (window: number): Promise<GatherResult> {
     const { peers, quorum } = this.services
     const links = peers.links()
     const answers = await Promise.allSettled(links.map(async (link) => (
@@ -151,47 +152,47 @@
     for (const { sources } of parts) {
       for (const { source, counts } of sources) this.table.merge(source, [{ window, counts }])
     }
-    const others = Object.keys(quorum.membership.voters).filter((name) => name !== quorum.name).length
-    return { isComplete: parts.length >= others }
+    const otherVoters = Object.keys(quorum.membership.voters).filter((name) => name !== quorum.name).length
+    return { isComplete: parts.length >= otherVoters }
   }
 
   private async deliver (report: UsageReport, { token, validUntil }: Fence): Promise<void> {
     const { settings, usageSink, proposer, logger } = this.services
     const { window, counts } = report
-    const outcome = await usageSink?.deliver({ window, counts, holder: settings.box, token, validUntil }) ?? { type: 'failed', why: 'no sink' }
-    const facts = { channel: 'usage', window, token } as const
+    const outcome = await usageSink?.deliver({ window, counts, holder: settings.box, token, validUntil }) ?? { type: 'failed', why: 'no sink is configured' }
+    const record = { channel: 'usage', window, token } as const
     switch (outcome.type) {
       case 'delivered':
         this.backoffMs = FIRST_BACKOFF_MS
-        logger.info({ ...facts, event: 'reported', why: `${total(report)} requests of ${counts.length} organisations` })
+        logger.info({ ...record, event: 'reported', why: `${sumRequests(report)} requests of ${counts.length} organisations` })
         await proposer.usageDelivered({ type: 'usage-delivered', window })
         break
       case 'fenced':
         this.lease.noteRefused(token)
-        logger.warn({ ...facts, event: 'fenced', why: 'a higher fencing token was seen; this term reports no more' })
+        logger.warn({ ...record, event: 'fenced', why: 'a higher fencing token was received; this process reports nothing more in this term' })
         break
       case 'expired':
-        logger.warn({ ...facts, event: 'postponed', why: 'the time of the fence was over before it was sent' })
+        logger.warn({ ...record, event: 'postponed', why: 'the lease expired before the report was sent' })
         break
       case 'failed':
-        logger.warn({ ...facts, event: 'postponed', why: outcome.why })
+        logger.warn({ ...record, event: 'postponed', why: outcome.why })
         this.backOff(outcome.backOffMs)
         break
     }
   }
 
   private backOff (leastMs = 0): void {
-    this.nextTryAt = performance.now() + Math.max(leastMs, this.backoffMs * (0.5 + Math.random()))
+    this.retryAt = performance.now() + Math.max(leastMs, this.backoffMs * (0.5 + Math.random()))
     this.backoffMs = Math.min(MAX_BACKOFF_MS, 2 * this.backoffMs)
   }
 
   private get usage () {
     const { usage } = this.services.settings
-    if (usage === undefined) throw new Error('usage is not reported')
+    if (usage === undefined) throw new Error('usage reporting is not configured')
     return usage
   }
 }
 
-function total ({ counts }: UsageReport): number {
-  return counts.reduce((sum, { begun }) => sum + begun, 0)
+function sumRequests ({ counts }: UsageReport): number {
+  return counts.reduce((total, { begun }) => total + begun, 0)
 }
--- a/control/program/src/usage-sink.ts
+++ b/control/program/src/usage-sink.ts
@@ -1,21 +1,21 @@
-/** Where usage is reported to, outside of the deployment. An adapter brings one that speaks to it. */
+/** The external system that receives usage reports. An adapter implements the interface. */
 import { type UsageReport } from '@gullwall/control.state'
 
-/** A report with who sends it and under which fencing token. */
+/** A report with its sender and fencing token. */
 export interface FencedReport extends Pick<UsageReport, 'window' | 'counts'> {
   holder: string
   token: number
-  /** From then on nothing is sent under this token, by the monotonic clock. */
+  /** Time from which nothing may be sent under this token, by the monotonic clock. */
   validUntil: number
 }
 
 export type DeliveryOutcome =
   | { type: 'delivered' }
-  /** A higher token has been seen; this one is of no use any more. */
+  /** The external system has received a higher token and refuses this one from now on. */
   | { type: 'fenced' }
-  /** It was not sent, since its time was over when it was about to be. */
+  /** Nothing was sent, because `validUntil` had passed. */
   | { type: 'expired' }
-  /** It was not taken, or it is not known whether it was; it may be sent again, though not for as long as was asked for. */
+  /** It is not known to be accepted. It may be sent again, after the backoff if the external system requested one. */
   | { type: 'failed', why: string, backOffMs?: number | undefined }
 
 export interface UsageSink {
--- a/control/program/src/usage-store.ts
+++ b/control/program/src/usage-store.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps what the entries here have counted on the disk, so that a window whose report is not decided yet survives a kill of
- * all processes. Without it such a kill lost the window under way and the one before.
+ * Stores the usage counts of the linked entries on the disk, so that windows whose reports are not decided yet survive a kill of all
+ * processes. Without the file the counts of the current window and of the previous window would be lost.
  */
 import { z } from 'zod'
 import { readChecked, writeChecked } from '@gullwall/control.storage'
@@ -11,40 +11,40 @@
 import { PacedAction } from './paced-action.ts'
 
 const FILE = 'usage'
-/** The file is written so often at most, in ms. With what entries have not told yet it is what a kill of all loses. */
-const SAVE_SPACING_MS = 100
-/** To put together what is written takes this share of the time: about half of what control may take of a core (3.8%). */
-const SAVE_SHARE = 0.02
-/** The file is written so often at least where it is large, in ms. */
-const MAX_SAVE_SPACING_MS = 1000
+/** Shortest interval between two writes of the file, in ms. A kill of all processes loses the counts of this interval. */
+const MIN_SAVE_INTERVAL_MS = 100
+/** Share of the time that building the file text may take: about half of a control process's limit of 3.8% of a core. */
+const SAVE_TIME_SHARE = 0.02
+/** Longest interval between two writes of a large file, in ms. */
+const MAX_SAVE_INTERVAL_MS = 1000
 
 const fileSchema = z.array(z.object({ source: z.string(), window: z.number().int().min(0), counts: z.array(usageCountSchema) }))
 
 export interface UsageStoreOptions {
   services: Pick<ControlServices, 'disk' | 'logger'>
-  /** What is to be kept now. */
+  /** Returns the counts to store. */
   take: () => SourceWindow[]
   now?: () => number
 }
 
 export class UsageStore {
-  private readonly saving = new PacedAction(() => this.spacingMs, () => { void this.save() })
-  private spacingMs = SAVE_SPACING_MS
+  private readonly saving = new PacedAction(() => this.saveIntervalMs, () => { void this.save() })
+  private saveIntervalMs = MIN_SAVE_INTERVAL_MS
   private isSaving = false
   private isStopped = false
-  /** Until the file has been read nothing is written: entries tell a process that starts before it has come to that. */
+  /** Whether the file has been read. Nothing is written before, because entries may report to a process that has not read it yet. */
   private isRead = false
   private isChanged = false
 
   constructor (private readonly options: UsageStoreOptions) {}
 
-  /** Gives what was kept; nothing where there is no file or it can't be used. It is to be taken over in the same turn. */
+  /** Returns the stored counts, or none if the file is missing or invalid. The caller must apply them in the same event loop turn. */
   async read (): Promise<SourceWindow[]> {
     try {
       const text = await readChecked(this.options.services.disk, FILE)
       return text === undefined ? [] : fileSchema.parse(JSON.parse(text))
     } catch (error) {
-      this.warn('the counts on the disk are not used', error)
+      this.warn('the stored counts can\'t be restored', error)
       return []
     } finally {
       this.isRead = true
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Notes that counts have changed. */
+  /** Requests a write because counts have changed. */
   changed (): void {
     this.isChanged = true
     if (this.isRead && !this.isStopped) this.saving.request()
@@ -70,24 +70,24 @@
     }
     this.isSaving = true
     try {
-      await writeChecked(this.options.services.disk, FILE, this.textOf())
+      await writeChecked(this.options.services.disk, FILE, this.buildText())
     } catch (error) {
-      this.warn('the counts can\'t be written', error)
+      this.warn('the counts can\'t be stored', error)
       this.changed()
     } finally {
       this.isSaving = false
     }
   }
 
-  private textOf (): string {
+  private buildText (): string {
     const { take, now = () => performance.now() } = this.options
     const beganAt = now()
     const text = JSON.stringify(take())
-    this.spacingMs = Math.min(MAX_SAVE_SPACING_MS, Math.max(SAVE_SPACING_MS, (now() - beganAt) / SAVE_SHARE))
+    this.saveIntervalMs = Math.min(MAX_SAVE_INTERVAL_MS, Math.max(MIN_SAVE_INTERVAL_MS, (now() - beganAt) / SAVE_TIME_SHARE))
     return text
   }
 
-  private warn (what: string, error: unknown): void {
-    this.options.services.logger.warn({ channel: 'process', event: 'failed', why: `${what}: ${messageOf(error)}` })
+  private warn (failure: string, error: unknown): void {
+    this.options.services.logger.warn({ channel: 'process', event: 'failed', why: `${failure}: ${messageOf(error)}` })
   }
 }
--- a/control/program/test/call-budget.test.ts
+++ b/control/program/test/call-budget.test.ts
@@ -1,9 +1,9 @@
-/** The pauses of a duty whose calls fail, or are turned away. */
+/** The backoff after calls that failed or were refused. */
 import { describe, expect, it } from 'vitest'
 import { CallBudget } from '../src/call-budget.ts'
 
-describe('a duty', () => {
-  it('pauses longer with each call that fails', () => {
+describe('CallBudget', () => {
+  it('increases the backoff with each failed call', () => {
     const budget = new CallBudget(10, () => 0.5)
     budget.backOff(0)
     expect([budget.mayTry(499), budget.mayTry(500)]).toEqual([false, true])
@@ -11,7 +11,7 @@
     expect([budget.mayTry(1499), budget.mayTry(1500)]).toEqual([false, true])
   })
 
-  it('pauses at least for as long as was asked for', () => {
+  it('backs off at least for the requested time', () => {
     const budget = new CallBudget(10, () => 0.5)
     budget.backOff(0, 7000)
     expect([budget.mayTry(6999), budget.mayTry(7000)]).toEqual([false, true])
--- a/control/program/test/paced-action.test.ts
+++ b/control/program/test/paced-action.test.ts
@@ -1,24 +1,24 @@
 import { afterEach, beforeEach, expect, it, vi } from 'vitest'
 import { PacedAction } from '../src/paced-action.ts'
 
-const SPACING_MS = 40
+const INTERVAL_MS = 40
 
 beforeEach(() => { vi.useFakeTimers() })
 afterEach(() => { vi.useRealTimers() })
 
-it('runs soon after a pause, once for all requests, and keeps its spacing', () => {
+it('runs at once after a pause, runs once for all requests, and keeps the interval between runs', () => {
   let runs = 0
-  const action = new PacedAction(() => SPACING_MS, () => { runs += 1 })
+  const action = new PacedAction(() => INTERVAL_MS, () => { runs += 1 })
   for (let request = 0; request < 5; request += 1) action.request()
   vi.advanceTimersByTime(1)
   expect(runs).toBe(1)
   for (let request = 0; request < 5; request += 1) action.request()
-  vi.advanceTimersByTime(SPACING_MS / 2)
+  vi.advanceTimersByTime(INTERVAL_MS / 2)
   expect(runs).toBe(1)
-  vi.advanceTimersByTime(SPACING_MS)
+  vi.advanceTimersByTime(INTERVAL_MS)
   expect(runs).toBe(2)
   action.request()
   action.stop()
-  vi.advanceTimersByTime(2 * SPACING_MS)
+  vi.advanceTimersByTime(2 * INTERVAL_MS)
   expect(runs).toBe(2)
 })
--- a/control/program/test/scaling-demand.test.ts
+++ b/control/program/test/scaling-demand.test.ts
@@ -39,14 +39,14 @@
   incarnation, running, strain: 0, sensitive: 0, unreachable: 0, unread: tokens.map((count, urgency) => ({ urgency, tokens: count }))
 })
 
-describe('the demand that control sees', () => {
-  it('is told by service and data centre, with what still runs where endpoints leave, and none for services without scaling', () => {
+describe('seeDemand', () => {
+  it('returns the demand by service and data centre, including load at draining endpoints, and omits services without scaling', () => {
     const leases = new LeaseTable({ logger })
     leases.merge([
       lease('a', 'lm', 'dc1'), lease('b', 'lm', 'dc1'), lease('c', 'lm', 'dc1', 'draining'), lease('d', 'lm', 'dc2'),
       lease('e', 'lm', 'dc3', 'gone'), lease('p', 'plain', 'dc1')
     ])
-    const seen = seeDemand({
+    const results = seeDemand({
       document,
       leases,
       work: {
@@ -56,10 +56,10 @@
       isWhole: true
     })
     const aimedWaitMs = 200
-    expect(seen).toEqual([
+    expect(results).toEqual([
       { service: 'lm', dataCentre: 'dc1', scaling, demand: { ready: 2, slots: 16, running: 5, unreadTokens: 160, tokensPerMs: 30, aimedWaitMs, isWhole: true } },
       { service: 'lm', dataCentre: 'dc2', scaling, demand: expect.objectContaining({ ready: 1, slots: 8, running: 1, unreadTokens: 0, aimedWaitMs }) }
     ])
-    expect(seen[1]?.demand.tokensPerMs).toBeGreaterThan(0)
+    expect(results[1]?.demand.tokensPerMs).toBeGreaterThan(0)
   })
 })
--- a/control/program/test/scaling-orders.fuzz.test.ts
+++ b/control/program/test/scaling-orders.fuzz.test.ts
@@ -5,9 +5,9 @@
 const SEED = Number(process.env['FUZZ_SEED'] ?? 53)
 console.log(`orders of endpoints: FUZZ_SEED=${SEED}`)
 
-/** A call without an answer is carried out within this time or not at all, in ms. */
+/** A call without a response is executed within this time or not at all, in ms. */
 const LATE_MS = 20_000
-/** After so long without faults all calls are carried out or lost, and the last order was sent again, in ms. */
+/** Time without faults after which all calls are executed or lost and the last order was sent again, in ms. */
 const QUIET_MS = 40_000
 
 const step = fc.oneof(
@@ -19,42 +19,42 @@
   fc.record({ type: fc.constant('carry out' as const), which: fc.nat() })
 )
 
-describe('orders of endpoints, through changes of holder, lost answers and late calls', () => {
-  it('come to what the log says, and no holder sends after a later one', async () => {
+describe('orders of endpoints with changes of leader, lost responses and late calls', () => {
+  it('converge to the decided order, and tokens never decrease', async () => {
     await fc.assert(fc.asyncProperty(fc.array(step, { minLength: 5, maxLength: 25 }), async (steps) => {
-      const world = new World()
+      const simulation = new World()
       let term = 1
-      await world.run(10_000)
+      await simulation.run(10_000)
       for (const next of steps) {
         switch (next.type) {
-          case 'run': await world.run(next.forMs); break
-          case 'demand': world.running = next.running; break
-          case 'restart': world.restart(next.name); break
+          case 'run': await simulation.run(next.forMs); break
+          case 'demand': simulation.running = next.running; break
+          case 'restart': simulation.restart(next.name); break
           case 'holder':
             term += 1
-            world.leader = next.name === undefined ? undefined : { name: next.name, term }
+            simulation.leader = next.name === undefined ? undefined : { name: next.name, term }
             break
           case 'answers':
-            world.sink.answer = () => ({
+            simulation.sink.answer = () => ({
               delivered: { type: 'delivered' } as const, failed: { type: 'failed', why: '503' } as const, late: 'carried out late' as const
             })[next.how]
             break
           case 'carry out': {
-            const [late] = world.sink.late.splice(next.which % Math.max(1, world.sink.late.length), 1)
-            if (late !== undefined && world.now - late.at < LATE_MS) world.sink.carryOut(late)
+            const [late] = simulation.sink.late.splice(next.which % Math.max(1, simulation.sink.late.length), 1)
+            if (late !== undefined && simulation.now - late.at < LATE_MS) simulation.sink.carryOut(late)
           }
         }
       }
-      world.leader ??= { name: 'a', term: term + 1 }
-      world.sink.answer = () => ({ type: 'delivered' })
-      world.running = 30
-      await world.run(2000)
-      for (const late of world.sink.late.splice(0)) if (world.now - late.at < LATE_MS) world.sink.carryOut(late)
-      await world.run(QUIET_MS)
-      expect(world.sink.set.get('lm dc1')).toBe(world.state.scalingOrders.of('lm', 'dc1')?.desired)
-      const tokens = world.sink.sent.map(({ token }) => token)
+      simulation.leader ??= { name: 'a', term: term + 1 }
+      simulation.sink.answer = () => ({ type: 'delivered' })
+      simulation.running = 30
+      await simulation.run(2000)
+      for (const late of simulation.sink.late.splice(0)) if (simulation.now - late.at < LATE_MS) simulation.sink.carryOut(late)
+      await simulation.run(QUIET_MS)
+      expect(simulation.sink.set.get('lm dc1')).toBe(simulation.state.scalingOrders.of('lm', 'dc1')?.desired)
+      const tokens = simulation.sink.sent.map(({ token }) => token)
       expect(tokens).toEqual([...tokens].sort((left, right) => left - right))
-      for (const { desired } of world.sink.sent) expect(desired >= 1 && desired <= 12).toBe(true)
+      for (const { desired } of simulation.sink.sent) expect(desired >= 1 && desired <= 12).toBe(true)
     }), { seed: SEED, numRuns: 200 })
   })
 })
--- a/control/program/test/scaling-processes.test.ts
+++ b/control/program/test/scaling-processes.test.ts
@@ -42,7 +42,7 @@
 describe('control processes that order endpoints', () => {
   afterEach(stopAll)
 
-  it('order the least that a service may have, once, and again from a new leader under a higher token', async () => {
+  it('order the minimum of a service once, and again from a new leader with a higher token', async () => {
     const sink = new FakeSink()
     const controls = await startThree(sink, { min: 3, max: 5, bootMs: 1000 })
     await until('an order', () => sink.orders.length > 0, LONG_MS)
@@ -57,7 +57,7 @@
     expect(after?.holder).not.toBe(before?.holder)
   }, 3 * LONG_MS)
 
-  it('order nothing for services that name no scaling', async () => {
+  it('order nothing for services without scaling', async () => {
     const sink = new FakeSink()
     const controls = await startThree(sink, undefined)
     for (const control of controls) await control.get('scalingOrderer').look()
--- a/control/program/test/scaling-world.ts
+++ b/control/program/test/scaling-world.ts
@@ -1,18 +1,18 @@
-/** Two processes that order endpoints, over one log, and an outside that they order them from; the time is played. */
+/** A simulation of two processes with one log that order endpoints from an external system. Time is simulated. */
 import { ControlState, type DecideScalingCommand, type ScalingResult } from '@gullwall/control.state'
 import { type DeliveryOutcome, type FencedOrder, type ScalingSink } from '@gullwall/control.program'
 import { createLogger } from '@gullwall/core.logger'
 import { DutyLease } from '../src/duty-lease.ts'
 import { ScalingOrderer } from '../src/scaling-orderer.ts'
 
-const LOOK_MS = 500
+const EVALUATION_INTERVAL_MS = 500
 export const LEASE_MS = 1000
 const SCALING = { min: 1, max: 12, bootMs: 10_000 }
 
-/** The outside: refuses lower tokens, and may carry a call out late or not answer. */
+/** A fake external system. It refuses lower tokens, and may execute a call late or not respond. */
 export class FakeSink implements ScalingSink {
   readonly sent: Array<FencedOrder & { at: number }> = []
-  /** What the outside has set, by service and data centre. */
+  /** The numbers of endpoints that the executed orders set, by service and data centre. */
   readonly set = new Map<string, number>()
   answer: (order: FencedOrder) => DeliveryOutcome | 'carried out late' = () => ({ type: 'delivered' })
   readonly late: Array<FencedOrder & { at: number }> = []
@@ -52,21 +52,21 @@
   private readonly orderers = new Map<string, ScalingOrderer>()
 
   constructor (private readonly dataCentres: string[] = ['dc1'], private readonly callsPerSecond = 4) {
-    for (const name of ['a', 'b']) this.orderers.set(name, this.newOrderer(name))
+    for (const name of ['a', 'b']) this.orderers.set(name, this.createOrderer(name))
   }
 
-  /** A process that has just started. */
+  /** Restarts a process. */
   restart (name: string): void {
-    this.orderers.set(name, this.newOrderer(name))
+    this.orderers.set(name, this.createOrderer(name))
   }
 
   async run (forMs: number): Promise<void> {
-    for (const end = this.now + forMs; this.now < end; this.now += LOOK_MS) {
+    for (const end = this.now + forMs; this.now < end; this.now += EVALUATION_INTERVAL_MS) {
       for (const orderer of this.orderers.values()) await orderer.look()
     }
   }
 
-  private newOrderer (name: string): ScalingOrderer {
+  private createOrderer (name: string): ScalingOrderer {
     const now = () => this.now
     return new ScalingOrderer({
       lease: new DutyLease({
--- a/control/program/test/usage-reporter.test.ts
+++ b/control/program/test/usage-reporter.test.ts
@@ -8,7 +8,7 @@
 const WINDOW_MS = 1000
 const USAGE = { address: '127.0.0.1:1', windowMs: WINDOW_MS, lateMs: 20_000, leaseMs: 300 }
 
-/** What the outside has been told, and how it answers. */
+/** A fake external system that records reports and returns configurable outcomes. */
 class FakeSink implements UsageSink {
   readonly reports: FencedReport[] = []
   answer: (report: FencedReport) => DeliveryOutcome = () => ({ type: 'delivered' })
@@ -38,10 +38,10 @@
   return Math.floor(Date.now() / WINDOW_MS)
 }
 
-describe('a report of usage', () => {
+describe('UsageReporter', () => {
   afterEach(stopAll)
 
-  it('adds up what entries told different control processes, and is delivered once', async () => {
+  it('sums the counts that entries sent to different control processes, and delivers a report once', async () => {
     const sink = new FakeSink()
     const controls = await startFive(sink)
     const window = currentWindow()
@@ -54,19 +54,19 @@
     expect(sink.of(window).map(({ counts }) => counts)).toEqual([[{ organisation: 'a', begun: 15 }]])
   })
 
-  it('is the same again from whoever takes over, though more is known by then', async () => {
+  it('sends the same report after a change of leader, even if more counts have arrived', async () => {
     const sink = new FakeSink()
     sink.answer = () => ({ type: 'failed', why: 'no answer' })
     const controls = await startFive(sink)
     const window = currentWindow()
-    const tell = (begun: number) => {
+    const reportUsage = (begun: number) => {
       for (const control of controls) {
         control.get('usageReporter').fromEntry(entry, { kind: 'usage', windows: [{ window, counts: [{ organisation: 'a', begun }] }] })
       }
     }
-    tell(5)
+    reportUsage(5)
     await until('reports', () => sink.of(window).length > 0, 20_000)
-    tell(9)
+    reportUsage(9)
     const first = leaderOf(controls) as Control
     running.forEach((control, address) => { if (control === first) running.delete(address) })
     await first.stop()
@@ -80,7 +80,7 @@
     expect(Math.max(...holders.keys())).toBe(reports.at(-1)?.token)
   })
 
-  it('has the counts of a window in which all processes were killed', async () => {
+  it('includes the counts of a window in which all processes were killed', async () => {
     const sink = new FakeSink()
     const addresses = await freeAddresses(5)
     const disks = addresses.map(() => new MemoryDisk())
@@ -101,7 +101,7 @@
     })
     await stopAll()
     const again = await startAll(true)
-    // An entry that lives on tells all of its counts again; they are the same counts.
+    // An entry that was not restarted sends the same counts again.
     again[0]?.get('usageReporter').fromEntry({ peer: { name: 'entry-0', startId: 's' } } as unknown as Link, {
       kind: 'usage', windows: [{ window, counts: [{ organisation: 'a', begun: 1 }] }]
     })
@@ -109,7 +109,7 @@
     expect(sink.of(window)[0]?.counts).toEqual([{ organisation: 'a', begun: 15 }])
   })
 
-  it('starts without counts where the file means nothing', async () => {
+  it('starts without counts if the file has unexpected content', async () => {
     const disk = new MemoryDisk()
     await writeChecked(disk, 'usage', '{"no":"counts"}')
     const [address = ''] = await freeAddresses(1)
@@ -117,7 +117,7 @@
     expect(control.get('usageReporter').partsOf(currentWindow()).sources).toEqual([])
   })
 
-  it('is not sent again under a token that was refused', async () => {
+  it('sends nothing more with a token that was refused', async () => {
     const sink = new FakeSink()
     sink.answer = () => ({ type: 'fenced' })
     await startFive(sink)
--- a/control/program/test/usage-store.test.ts
+++ b/control/program/test/usage-store.test.ts
@@ -7,27 +7,27 @@
 
 const LONG_MS = 10_000
 
-const counted = (source: string): SourceWindow => ({ source, window: 7, counts: [{ organisation: 'a', begun: 3 }] })
+const createCounts = (source: string): SourceWindow => ({ source, window: 7, counts: [{ organisation: 'a', begun: 3 }] })
 
 beforeEach(() => { vi.useFakeTimers() })
 afterEach(() => { vi.useRealTimers() })
 
-describe('the counts on the disk', () => {
-  it('are not replaced before they were read: entries tell a process that starts before it has come to them', async () => {
+describe('UsageStore', () => {
+  it('does not write before the stored counts were read', async () => {
     const disk = new MemoryDisk()
-    await writeChecked(disk, 'usage', JSON.stringify([counted('before')]))
-    const held = [counted('after')]
-    const store = new UsageStore({ services: { disk, logger: silentLogger() }, take: () => held })
+    await writeChecked(disk, 'usage', JSON.stringify([createCounts('before')]))
+    const current = [createCounts('after')]
+    const store = new UsageStore({ services: { disk, logger: silentLogger() }, take: () => current })
     store.changed()
     await vi.advanceTimersByTimeAsync(LONG_MS)
     const read = await store.read()
-    expect(read).toEqual([counted('before')])
-    held.push(...read)
+    expect(read).toEqual([createCounts('before')])
+    current.push(...read)
     await vi.advanceTimersByTimeAsync(LONG_MS)
-    expect(JSON.parse(await readChecked(disk, 'usage') ?? '')).toEqual([counted('after'), counted('before')])
+    expect(JSON.parse(await readChecked(disk, 'usage') ?? '')).toEqual([createCounts('after'), createCounts('before')])
   })
 
-  it('are written less often where there are so many that it takes long', async () => {
+  it('writes less often if building the file text takes long', async () => {
     const writesWithin = async (ms: number, tookMs: number) => {
       let clock = 0
       let writes = 0
@@ -45,13 +45,13 @@
       store.stop()
       return writes
     }
-    // The first is written at once.
+    // The first write happens at once.
     expect([await writesWithin(LONG_MS, 1), await writesWithin(LONG_MS, 10), await writesWithin(LONG_MS, 1000)]).toEqual([101, 21, 11])
   })
 
-  it('are not told to the process that reports before they were read, which would take the rest for all', async () => {
+  it('does not send counts to a peer before the stored counts were read', async () => {
     const disk = new MemoryDisk()
-    await writeChecked(disk, 'usage', JSON.stringify([counted('before')]))
+    await writeChecked(disk, 'usage', JSON.stringify([createCounts('before')]))
     const reporter = new UsageReporter({
       disk, logger: silentLogger(), settings: { usage: { windowMs: 5000, lateMs: 10_000, leaseMs: 3000 } }, usageSink: {}
     } as never)
