--- a/control/program/src/grant-ledger.ts
+++ b/control/program/src/grant-ledger.ts
@@ -88,12 +88,12 @@
 /** The grants for one endpoint. */
 interface Account {
   /** Time of the first request, since the ledger started or since the endpoint became cold again. */
-  firstAskedAt: number
+  firstRequestAt: number
   /** Whether the possible grants of the previous leader's ledger are counted. */
-  isAssumed: boolean
+  isPreviousLeaderCounted: boolean
   /** End of the cold period that the endpoint reported. */
   coldUntil: number | undefined
-  askedAt: number
+  lastRequestAt: number
   grants: SendLog
   /** Retry times of the boxes that have had no grant since their refusal. The box that waits longest comes first. */
   queue: Map<string, number>
@@ -138,8 +138,8 @@
   /** Grants requests to an endpoint, or returns a grant of 0 requests with the retry delay. */
   grant ({ incarnation, box, requests, bounds, word }: LedgerAsk, now: number): Grant {
     const account = this.findOrCreateAccount(incarnation, now)
-    if (updateColdUntil(account, word)) account.firstAskedAt = now
-    account.askedAt = now
+    if (updateColdUntil(account, word)) account.firstRequestAt = now
+    account.lastRequestAt = now
     const spans = bounds.map((bound) => ({ ...bound, windowMs: this.spanOf(bound) }))
     const longest = Math.max(SPAN_MS, ...spans.map(({ windowMs }) => windowMs))
     account.grants.forgetBefore(now - Math.max(longest, IDLE_RETENTION_MS))
@@ -155,8 +155,8 @@
 
   /** Removes endpoints without recent requests. */
   sweep (now: number): void {
-    for (const [incarnation, { askedAt }] of this.accounts) {
-      if (now - askedAt > IDLE_RETENTION_MS) this.accounts.delete(incarnation)
+    for (const [incarnation, { lastRequestAt }] of this.accounts) {
+      if (now - lastRequestAt > IDLE_RETENTION_MS) this.accounts.delete(incarnation)
     }
   }
 
@@ -169,20 +169,20 @@
   private findStart (account: Account, spans: readonly GrantBound[]): number {
     const previousLeaderEndedAt = this.opensAt - SPAN_MS
     const limit = spans.find(({ isQueued }) => isQueued)
-    if (limit !== undefined && !account.isAssumed) {
-      account.isAssumed = true
+    if (limit !== undefined && !account.isPreviousLeaderCounted) {
+      account.isPreviousLeaderCounted = true
       account.grants.assumeUsed(limit, previousLeaderEndedAt)
     }
     const isCold = spans.some(({ isQueued }) => !isQueued)
     const settleMs = this.settleMs ?? Math.max(0, ...spans.map((bound) => bound.settleMs))
-    return Math.max(isCold ? this.opensAt : previousLeaderEndedAt, account.firstAskedAt + settleMs)
+    return Math.max(isCold ? this.opensAt : previousLeaderEndedAt, account.firstRequestAt + settleMs)
   }
 
   private findOrCreateAccount (incarnation: string, now: number): Account {
     const known = this.accounts.get(incarnation)
     if (known !== undefined) return known
     const account: Account = {
-      firstAskedAt: now, isAssumed: false, coldUntil: undefined, askedAt: now, grants: new SendLog(), queue: new Map()
+      firstRequestAt: now, isPreviousLeaderCounted: false, coldUntil: undefined, lastRequestAt: now, grants: new SendLog(), queue: new Map()
     }
     this.accounts.set(incarnation, account)
     return account
--- a/control/program/src/granter.ts
+++ b/control/program/src/granter.ts
@@ -15,7 +15,7 @@
 const OBSERVE_MS = 200
 
 interface GranterMetrics {
-  asks: Counter
+  requests: Counter
   granted: Counter
   refused: Counter
 }
@@ -31,20 +31,20 @@
 }
 
 export class Granter {
-  private readonly duty: GrantDuty
+  private readonly leasedLedger: GrantDuty
   private table: RouteTable | undefined
   private metrics: GranterMetrics | undefined
   private timer: NodeJS.Timeout | undefined
 
   constructor (private readonly services: ControlServices) {
-    this.duty = new GrantDuty({
+    this.leasedLedger = new GrantDuty({
       leadingTerm: () => services.quorum.role === 'leader' ? services.quorum.status().term : undefined,
       confirm: async () => await services.quorum.confirmRead()
     })
   }
 
   start (): void {
-    this.timer = setInterval(() => this.duty.observe(), OBSERVE_MS)
+    this.timer = setInterval(() => this.leasedLedger.observe(), OBSERVE_MS)
   }
 
   stop (): void {
@@ -53,12 +53,12 @@
 
   addMetrics (registry: Registry): void {
     this.metrics = {
-      asks: counter(registry, 'gullwall_cold_asks_total', 'Grant requests for cold endpoints that were decided here'),
+      requests: counter(registry, 'gullwall_cold_asks_total', 'Grant requests for cold endpoints that were decided here'),
       granted: counter(registry, 'gullwall_cold_granted_requests_total', 'Requests to cold endpoints that were granted here'),
       refused: counter(registry, 'gullwall_cold_refusals_total', 'Grant requests for cold endpoints that were refused here')
     }
     const endpoints = gauge(registry, 'gullwall_cold_endpoints', 'Endpoints whose grants are counted here')
-    Object.assign(endpoints, { collect: () => endpoints.set(this.duty.size) })
+    Object.assign(endpoints, { collect: () => endpoints.set(this.leasedLedger.size) })
   }
 
   /**
@@ -70,20 +70,20 @@
       if (!isForwarded) return await this.services.proposer.askGrants(message)
       throw new GullwallError('ERR_GULLWALL_NOT_LEADER', 'this process does not lead', { step: 'grant', hint: 'repeat the request' })
     }
-    const ledger = await this.duty.held()
+    const ledger = await this.leasedLedger.held()
     if (ledger === undefined) {
       throw new GullwallError('ERR_GULLWALL_NO_QUORUM', 'this leader does not hold the lease', { step: 'grant', hint: 'repeat the request' })
     }
-    return { kind: 'coldGranted', grants: message.wishes.map((wish) => this.decide(ledger, wish, message.entry)) }
+    return { kind: 'coldGranted', grants: message.wishes.map((request) => this.decide(ledger, request, message.entry)) }
   }
 
-  private decide (ledger: GrantLedger, wish: GrantWish, entry: string): Grant {
-    const { incarnation, requests } = wish
-    const perSecond = this.findLimit(wish)
-    const bounds = this.findBounds(wish, perSecond)
-    const ask = { incarnation, box: entry, requests, bounds, word: this.findColdStatus(incarnation) }
-    const grant = { ...ledger.grant(ask, performance.now()), perSecond }
-    this.metrics?.asks.inc()
+  private decide (ledger: GrantLedger, request: GrantWish, entry: string): Grant {
+    const { incarnation, requests } = request
+    const perSecond = this.findLimit(request)
+    const bounds = this.findBounds(request, perSecond)
+    const ledgerRequest = { incarnation, box: entry, requests, bounds, word: this.findColdStatus(incarnation) }
+    const grant = { ...ledger.grant(ledgerRequest, performance.now()), perSecond }
+    this.metrics?.requests.inc()
     if (grant.requests > 0) this.metrics?.granted.inc(grant.requests)
     else this.metrics?.refused.inc()
     this.log({ entry, requests, bounds, grant })
--- a/control/program/src/main.ts
+++ b/control/program/src/main.ts
@@ -6,7 +6,7 @@
 
 const program = command({
   name: 'gullwall-control',
-  description: 'Keeps the replicated state.\nExample: gullwall-control --settings control.toml',
+  description: 'Stores the replicated state.\nExample: gullwall-control --settings control.toml',
   args: { settings: option({ type: string, long: 'settings', description: 'TOML file with the settings of this process' }) },
   handler: async ({ settings }) => {
     assertRuntime()
--- a/control/program/src/member-table.ts
+++ b/control/program/src/member-table.ts
@@ -26,7 +26,7 @@
     this.localListeners.push(listener)
   }
 
-  /** Returns all known sidecars. An entry of this process takes precedence over the entry of a peer. */
+  /** Returns all known sidecars. The data of a sidecar that is linked here takes precedence over the report of a peer. */
   all (): Member[] {
     const known = new Map<string, Member>()
     for (const members of this.remote.values()) {
--- a/control/program/src/work-relay.ts
+++ b/control/program/src/work-relay.ts
@@ -36,7 +36,7 @@
   sentAt: number
 }
 
-/** A holding that is not published yet. It is not sent back to the link that it came from. */
+/** A holding, which lists prompt parts that an endpoint has cached. It waits for publication and is not sent back to its source. */
 interface PendingHolding {
   holding: Holding
   from: Link
@@ -163,24 +163,24 @@
 
   /** Changes for other regions are recorded only while a peer there is linked. A peer that connects later receives all sums. */
   private get allPending (): PendingChanges[] {
-    return this.findPeers('farther').length > 0 ? [this.pending, this.otherRegionPending] : [this.pending]
+    return this.findPeers('other region').length > 0 ? [this.pending, this.otherRegionPending] : [this.pending]
   }
 
   private requestPublishing (): void {
     this.publishing.request()
-    if (this.findPeers('farther').length > 0) this.publishingToOtherRegions.request()
+    if (this.findPeers('other region').length > 0) this.publishingToOtherRegions.request()
   }
 
-  private findPeers (which: 'near' | 'farther'): Link[] {
+  private findPeers (region: 'same region' | 'other region'): Link[] {
     const { peers, nearness } = this.services
-    return peers.links().filter((peer) => (nearness.distanceTo(peer) === 'other region') === (which === 'farther'))
+    return peers.links().filter((peer) => (nearness.distanceTo(peer) === 'other region') === (region === 'other region'))
   }
 
   private publish (): void {
     const now = performance.now()
     const pending = this.pending
     this.pending = noChanges()
-    this.publishToPeers(pending, 'near')
+    this.publishToPeers(pending, 'same region')
     for (const [link, entry] of this.entries) {
       const update = this.createUpdate(pending, (source) => source !== link)
       if (update === undefined) continue
@@ -192,12 +192,12 @@
   private publishToOtherRegions (): void {
     const pending = this.otherRegionPending
     this.otherRegionPending = noChanges()
-    this.publishToPeers(pending, 'farther')
+    this.publishToPeers(pending, 'other region')
   }
 
-  private publishToPeers (pending: PendingChanges, which: 'near' | 'farther'): void {
+  private publishToPeers (pending: PendingChanges, region: 'same region' | 'other region'): void {
     const update = this.createUpdate(pending, isEntry)
-    if (update !== undefined) for (const peer of this.findPeers(which)) peer.send(update)
+    if (update !== undefined) for (const peer of this.findPeers(region)) peer.send(update)
   }
 
   private publishReadings (): void {
--- a/control/program/test/grant-model.ts
+++ b/control/program/test/grant-model.ts
@@ -52,13 +52,13 @@
   private term = 0
   private leader: number | undefined
   private readonly believedTerms: Array<number | undefined> = Array.from({ length: CONTROLS }, () => undefined)
-  private readonly duties: GrantDuty[]
+  private readonly leasedLedgers: GrantDuty[]
   private readonly grantPools: GrantPurse[]
   private readonly restartCounts = Array.from({ length: BOXES }, () => 0)
   private events: Event[] = []
 
   constructor (private readonly options: ModelOptions) {
-    this.duties = this.believedTerms.map((_unused, control) => this.createDuty(control))
+    this.leasedLedgers = this.believedTerms.map((_unused, control) => this.createLeasedLedger(control))
     this.grantPools = this.restartCounts.map(() => new GrantPurse())
   }
 
@@ -92,7 +92,7 @@
     switch (step.type) {
       case 'ask': this.requestGrant(step); break
       case 'elect': this.elect(step); break
-      case 'observe': this.duties[step.control]?.observe(); break
+      case 'observe': this.leasedLedgers[step.control]?.observe(); break
       case 'restartBox':
         this.grantPools[step.box] = new GrantPurse()
         this.restartCounts[step.box] = (this.restartCounts[step.box] as number) + 1
@@ -100,7 +100,7 @@
       case 'restartControl':
         if (this.leader === step.control) this.leader = undefined
         this.believedTerms[step.control] = undefined
-        this.duties[step.control] = this.createDuty(step.control)
+        this.leasedLedgers[step.control] = this.createLeasedLedger(step.control)
         break
     }
   }
@@ -109,7 +109,7 @@
     const requestedAt = this.boxTime(box)
     const start = this.restartCounts[box]
     this.schedule(thereMs, async () => {
-      const ledger = await this.duties[control]?.held()
+      const ledger = await this.leasedLedgers[control]?.held()
       const request = { incarnation: ENDPOINT, box: String(box), requests, bounds: [this.options.bound] }
       const grant = ledger?.grant(request, this.controlTime(control))
       if (grant === undefined || grant.requests === 0) return
@@ -142,7 +142,7 @@
     this.believedTerms[control] = this.term
   }
 
-  private createDuty (control: number): GrantDuty {
+  private createLeasedLedger (control: number): GrantDuty {
     const { newLedger, leaseMs, neverConfirms } = this.options
     return new GrantDuty({
       newLedger,
--- a/control/program/test/grants.fuzz.test.ts
+++ b/control/program/test/grants.fuzz.test.ts
@@ -32,8 +32,9 @@
 const share = fc.oneof(fc.constant(0), fc.constant(1), fc.constant(1), fc.double({ min: 0, max: 1, noNaN: true }))
 const use: fc.Arbitrary<Use> = fc.record({ dispatchShare: share, connectShare: share })
 /** A phase in which all boxes use their grants in the same way. */
-const phase = fc.record({ use, asks: fc.array(grantRequest, { minLength: 20, maxLength: 80, size: 'max' }), last: fc.option(otherStep, { freq: 3 }) })
-  .map(({ use, asks, last }): Step[] => [...asks.map((step): Step => ({ ...step, use })), ...(last === null ? [] : [last])])
+const phase = fc.record({
+  use, steps: fc.array(grantRequest, { minLength: 20, maxLength: 80, size: 'max' }), last: fc.option(otherStep, { freq: 3 })
+}).map(({ use, steps, last }): Step[] => [...steps.map((step): Step => ({ ...step, use })), ...(last === null ? [] : [last])])
 
 const rates = fc.array(fc.constantFrom(1 - DRIFT, 1, 1 + DRIFT), { minLength: CONTROLS + BOXES, maxLength: CONTROLS + BOXES })
 /** A term that is long enough to contain grants. A leader begins to grant after about three seconds. */
--- a/control/program/test/usage-reporter.test.ts
+++ b/control/program/test/usage-reporter.test.ts
@@ -96,8 +96,8 @@
       })
     }
     await until('the counts are written', async () => {
-      const kept = await Promise.all(disks.map(async (disk) => await readChecked(disk, 'usage')))
-      return kept.every((text) => text?.includes('"begun"') === true)
+      const stored = await Promise.all(disks.map(async (disk) => await readChecked(disk, 'usage')))
+      return stored.every((text) => text?.includes('"begun"') === true)
     })
     await stopAll()
     const again = await startAll(true)
