--- a/control/program/src/crash-judge.ts
+++ b/control/program/src/crash-judge.ts
@@ -13,12 +13,12 @@
 const CHECK_INTERVAL_MS = 50
 /**
  * Delay between the first report of a crash and its evaluation, in ms. Entries report a crash within 20 ms and a round trip, and
- * the first report alone must not decide. During a longer delay a request that its caller repeats at once crashes more engines.
+ * the first report alone must not decide. A longer delay would let a request that its caller repeats at once crash more endpoints.
  */
 const SETTLE_MS = 150
 /** Retention time of a crash, in ms. Callers that repeat a request by hand do so within minutes. */
 const CRASH_RETENTION_MS = 10 * 60_000
-/** Quarantine time of a request, in ms. After it a single crash quarantines the request again: one engine in half an hour at most. */
+/** Quarantine time of a request, in ms. After it a single crash quarantines the request again: one endpoint in half an hour at most. */
 const QUARANTINE_MS = 30 * 60_000
 
 export interface CrashJudgeOptions {
@@ -56,9 +56,9 @@
       const metric = gauge(registry, name, help)
       Object.assign(metric, { collect: () => metric.set(value()) })
     }
-    add('gullwall_quarantined_requests', 'Requests that are quarantined because endpoints crash while they run', () => evidence.held.size)
-    add('gullwall_crash_suspects', 'Requests that were running when an endpoint crashed and are not quarantined', () => evidence.suspects)
-    add('gullwall_crashes_kept', 'Crashes of endpoints that are retained', () => evidence.endpoints.length)
+    add('gullwall_quarantined_requests', 'Requests that are held because endpoints crash under them', () => evidence.held.size)
+    add('gullwall_crash_suspects', 'Requests that were running when an endpoint crashed and are not held', () => evidence.suspects)
+    add('gullwall_crashes_kept', 'Crashes of endpoints that are remembered', () => evidence.endpoints.length)
   }
 
   /**
--- a/control/program/src/evacuations.ts
+++ b/control/program/src/evacuations.ts
@@ -75,13 +75,13 @@
 
   /** Adds the metrics of this process to a registry. */
   addMetrics (registry: Registry): void {
-    const orders = counter(registry, 'gullwall_evacuation_orders_total', 'Orders to evacuate a data centre or to withdraw an evacuation, by outcome', ['outcome'])
+    const orders = counter(registry, 'gullwall_evacuation_orders_total', 'Orders to evacuate a data centre or to withdraw that, by outcome', ['outcome'])
     const collectOrders = () => {
       orders.reset()
       for (const [outcome, count] of this.counts) orders.inc({ outcome }, count)
     }
     Object.assign(orders, { collect: collectOrders })
-    const evacuated = gauge(registry, 'gullwall_evacuated_data_centres', 'Data centres that are evacuated according to the state of this process')
+    const evacuated = gauge(registry, 'gullwall_evacuated_data_centres', 'Data centres that are evacuated as far as this process knows')
     Object.assign(evacuated, { collect: () => evacuated.set(this.evacuated.length) })
   }
 
--- a/control/program/src/grant-duty.ts
+++ b/control/program/src/grant-duty.ts
@@ -35,7 +35,7 @@
     this.lease = new DutyLease({ leaseMs, leadingTerm, confirm, now: this.now })
   }
 
-  /** Updates the term and removes idle endpoints. The process may grant earlier if the start of its term is noticed earlier. */
+  /** Updates the term and removes idle endpoints. Frequent calls detect the start of a term with less delay. */
   observe (): void {
     const term = this.lease.observeTerm()
     const now = this.now()
--- a/control/program/src/granter.ts
+++ b/control/program/src/granter.ts
@@ -53,9 +53,9 @@
 
   addMetrics (registry: Registry): void {
     this.metrics = {
-      requests: counter(registry, 'gullwall_cold_asks_total', 'Grant requests for cold endpoints that were decided here'),
+      requests: counter(registry, 'gullwall_cold_asks_total', 'Wishes for cold endpoints that were decided here'),
       granted: counter(registry, 'gullwall_cold_granted_requests_total', 'Requests to cold endpoints that were granted here'),
-      refused: counter(registry, 'gullwall_cold_refusals_total', 'Grant requests for cold endpoints that were refused here')
+      refused: counter(registry, 'gullwall_cold_refusals_total', 'Wishes for cold endpoints that were not granted here')
     }
     const endpoints = gauge(registry, 'gullwall_cold_endpoints', 'Endpoints whose grants are counted here')
     Object.assign(endpoints, { collect: () => endpoints.set(this.leasedLedger.size) })
--- a/control/program/src/registrar.ts
+++ b/control/program/src/registrar.ts
@@ -22,7 +22,7 @@
 const FAR_INTERVAL_MS = 200
 /** The same interval for entries of other regions, in ms. They also receive all changes, so that no `draining` or `gone` is lost. */
 const FARTHEST_INTERVAL_MS = 1000
-/** Refreshed leases go to nearby entries in each round. Every time after this number of rounds they go to all entries. */
+/** Number of rounds after which refreshed leases go to all entries. In the other rounds they go to nearby entries only. */
 const ROUNDS_PER_FULL_REFRESH = 3
 /** Timeout of the confirmation by a majority, in ms. It is shorter than the second that an endpoint waits for the response. */
 const CONFIRM_TIMEOUT_MS = 800
@@ -116,7 +116,7 @@
 
   /** Adds the metrics of this process to a registry. */
   addMetrics (registry: Registry): void {
-    const invalidReports = gauge(registry, 'gullwall_endpoint_words_refused_total', 'Invalid reports about endpoints')
+    const invalidReports = gauge(registry, 'gullwall_endpoint_words_refused_total', 'Words about endpoints that could not be understood')
     Object.assign(invalidReports, { collect: () => invalidReports.set(this.invalidReports) })
   }
 
--- a/control/program/src/scaling-orderer.ts
+++ b/control/program/src/scaling-orderer.ts
@@ -69,8 +69,8 @@
 
   addMetrics (registry: Registry): void {
     this.metrics = {
-      decisions: counter(registry, 'gullwall_scaling_decisions_total', 'Orders of endpoints that were decided by this process', ['direction']),
-      calls: counter(registry, 'gullwall_scaling_calls_total', 'Calls that ordered endpoints, by outcome', ['outcome']),
+      decisions: counter(registry, 'gullwall_scaling_decisions_total', 'Orders of endpoints that were decided here', ['direction']),
+      calls: counter(registry, 'gullwall_scaling_calls_total', 'Calls that ordered endpoints, by what became of them', ['outcome']),
       desired: gauge(registry, 'gullwall_scaling_desired_endpoints', 'Endpoints that were last ordered', ['service', 'data_centre'])
     }
   }
