--- a/control/program/src/first-seen.ts
+++ b/control/program/src/age-tracker.ts
@@ -1,10 +1,10 @@
 /** Measures how long this process has observed each key, for keys without a timestamp. */
 
-export class FirstSeen<Key> {
+export class AgeTracker<Key> {
   private seenAt = new Map<Key, number>()
 
   /** Records the keys that are present now. Returns those that have been present for longer than `ageMs`. */
-  olderThan (ageMs: number, present: Iterable<Key>, now: number): Key[] {
+  findOlderThan (ageMs: number, present: Iterable<Key>, now: number): Key[] {
     this.seenAt = new Map([...present].map((key) => [key, this.seenAt.get(key) ?? now]))
     return [...this.seenAt].filter(([, seenAt]) => now - seenAt > ageMs).map(([key]) => key)
   }
--- a/control/program/src/call-budget.ts
+++ b/control/program/src/call-rate-limiter.ts
@@ -9,7 +9,7 @@
 const MAX_BACKOFF_MS = 5000
 const MS_PER_S = 1000
 
-export class CallBudget {
+export class CallRateLimiter {
   private readonly callsPerMs: number
   private readonly capacity: number
   private tokens: number
@@ -25,20 +25,20 @@
   }
 
   /** Whether the backoff after a failure is over. */
-  mayTry (now: number): boolean {
+  isBackoffOver (now: number): boolean {
     return now >= this.retryAt
   }
 
-  mayCall (now: number): boolean {
-    return this.mayTry(now) && this.tokensAt(now) >= 1
+  canCall (now: number): boolean {
+    return this.isBackoffOver(now) && this.tokensAt(now) >= 1
   }
 
-  noteCall (now: number): void {
+  recordCall (now: number): void {
     this.tokens = this.tokensAt(now) - 1
     this.updatedAt = now
   }
 
-  noteAnswer (): void {
+  recordSuccess (): void {
     this.backoffMs = FIRST_BACKOFF_MS
   }
 
--- a/control/program/src/crash-judge.ts
+++ b/control/program/src/crash-evaluator.ts
@@ -6,7 +6,7 @@
 import { gauge, type Registry } from '@gullwall/core.metrics'
 import { type ForgetCrashesCommand, type QuarantineResult } from '@gullwall/control.state'
 import { type MessageOf } from '@gullwall/transport.messages'
-import { FirstSeen } from './first-seen.ts'
+import { AgeTracker } from './age-tracker.ts'
 import { type ControlServices } from './index.ts'
 
 /** Interval at which the leader checks for crashes to evaluate or to remove, in ms. */
@@ -21,15 +21,15 @@
 /** Quarantine time of a request, in ms. After it a single crash quarantines the request again: one endpoint in half an hour at most. */
 const QUARANTINE_MS = 30 * 60_000
 
-export interface CrashJudgeOptions {
-  crashKeptMs?: number
-  heldMs?: number
+export interface CrashEvaluatorOptions {
+  crashRetentionMs?: number
+  quarantineMs?: number
   now?: () => number
 }
 
-export class CrashJudge {
-  private readonly crashAges = new FirstSeen<string>()
-  private readonly quarantineAges = new FirstSeen<string>()
+export class CrashEvaluator {
+  private readonly crashAges = new AgeTracker<string>()
+  private readonly quarantineAges = new AgeTracker<string>()
   private readonly now: () => number
   private unjudgedSince: number | undefined
   private isBusy = false
@@ -37,13 +37,13 @@
 
   constructor (
     private readonly services: Pick<ControlServices, 'state' | 'quorum' | 'proposer' | 'logger'>,
-    private readonly options: CrashJudgeOptions = {}
+    private readonly options: CrashEvaluatorOptions = {}
   ) {
     this.now = options.now ?? (() => performance.now())
   }
 
   start (): void {
-    this.timer = setInterval(() => { void this.look() }, CHECK_INTERVAL_MS)
+    this.timer = setInterval(() => { void this.runDueCommands() }, CHECK_INTERVAL_MS)
   }
 
   stop (): void {
@@ -56,8 +56,8 @@
       const metric = gauge(registry, name, help)
       Object.assign(metric, { collect: () => metric.set(value()) })
     }
-    add('gullwall_quarantined_requests', 'Requests that are held because endpoints crash under them', () => evidence.held.size)
-    add('gullwall_crash_suspects', 'Requests that were running when an endpoint crashed and are not held', () => evidence.suspects)
+    add('gullwall_quarantined_requests', 'Requests that are held because endpoints crash under them', () => evidence.quarantined.size)
+    add('gullwall_crash_suspects', 'Requests that were running when an endpoint crashed and are not held', () => evidence.suspectCount)
     add('gullwall_crashes_kept', 'Crashes of endpoints that are remembered', () => evidence.endpoints.length)
   }
 
@@ -65,14 +65,14 @@
    * Records the crash report of an entry. The report is durable once the promise resolves.
    * @throws ERR_GULLWALL_NO_QUORUM, ERR_GULLWALL_NOT_LEADER, ERR_GULLWALL_OUTCOME_UNKNOWN; the entry may send the same report again
    */
-  async note ({ crashes, ranWell }: MessageOf<'crashes'>): Promise<MessageOf<'done'>> {
-    const result = await this.services.proposer.quarantine({ type: 'note-crashes', crashes, ranWell })
+  async recordCrashes ({ crashes, ranWell }: MessageOf<'crashes'>): Promise<MessageOf<'done'>> {
+    const result = await this.services.proposer.applyQuarantineCommand({ type: 'note-crashes', crashes, ranWell })
     this.log(result, 'the request completed successfully')
     return { kind: 'done' }
   }
 
   /** Evaluates and removes the crashes that are due, if this process leads. */
-  async look (): Promise<void> {
+  async runDueCommands (): Promise<void> {
     if (this.services.quorum.role !== 'leader') {
       this.unjudgedSince = undefined
       this.crashAges.reset()
@@ -93,7 +93,7 @@
 
   private async evaluateIfDue (): Promise<void> {
     const { evidence } = this.services.state.quarantine
-    if (evidence.isJudged) {
+    if (evidence.isEvaluated) {
       this.unjudgedSince = undefined
       return
     }
@@ -101,26 +101,26 @@
     this.unjudgedSince ??= now
     if (now - this.unjudgedSince < SETTLE_MS) return
     this.unjudgedSince = undefined
-    this.log(await this.services.proposer.quarantine({ type: 'judge-crashes' }), 'too many requests are quarantined')
+    this.log(await this.services.proposer.applyQuarantineCommand({ type: 'judge-crashes' }), 'too many requests are quarantined')
   }
 
   private async removeIfDue (): Promise<void> {
     const { evidence } = this.services.state.quarantine
-    const { crashKeptMs = CRASH_RETENTION_MS, heldMs = QUARANTINE_MS } = this.options
+    const { crashRetentionMs = CRASH_RETENTION_MS, quarantineMs = QUARANTINE_MS } = this.options
     const now = this.now()
     const due: ForgetCrashesCommand = {
       type: 'forget-crashes',
-      endpoints: this.crashAges.olderThan(crashKeptMs, evidence.endpoints, now),
-      requests: this.quarantineAges.olderThan(heldMs, evidence.held, now)
+      endpoints: this.crashAges.findOlderThan(crashRetentionMs, evidence.endpoints, now),
+      requests: this.quarantineAges.findOlderThan(quarantineMs, evidence.quarantined, now)
     }
     if (due.endpoints.length + due.requests.length === 0) return
-    this.log(await this.services.proposer.quarantine(due), 'the quarantine time is over; one more crash quarantines the request again')
+    this.log(await this.services.proposer.applyQuarantineCommand(due), 'the quarantine time is over; one more crash quarantines the request again')
   }
 
   private log ({ held, released }: QuarantineResult, releaseReason: string): void {
     const { logger, state: { quarantine: { evidence } } } = this.services
     for (const fingerprint of held) {
-      const why = `${evidence.crashesOf(fingerprint)} endpoints crashed while the request was running there, and no other request explains the crashes`
+      const why = `${evidence.countCrashes(fingerprint)} endpoints crashed while the request was running there, and no other request explains the crashes`
       logger.warn({ channel: 'quarantine', event: 'held', fingerprint, why })
     }
     for (const fingerprint of released) logger.info({ channel: 'quarantine', event: 'released', fingerprint, why: releaseReason })
--- a/control/program/src/demand-history.ts
+++ b/control/program/src/demand-history.ts
@@ -5,12 +5,12 @@
   /** Number of endpoints that the demand keeps at the target utilisation. */
   load: number
   /** Expected load at the time when an endpoint that is ordered now is ready. */
-  foreseen: number
+  forecast: number
 }
 
 export interface NewSample extends Pick<DemandSample, 'at' | 'load'> {
   /** Forecast horizon, in ms. */
-  aheadMs: number
+  horizonMs: number
 }
 
 /**
@@ -54,18 +54,18 @@
    * Adds a sample and computes its forecast.
    * @param keptMs retention time of samples, in ms; the newest sample that is older than this is kept too
    */
-  add ({ at, load, aheadMs }: NewSample, keptMs: number): void {
-    const sample: DemandSample = { at, load, foreseen: load }
+  add ({ at, load, horizonMs }: NewSample, keptMs: number): void {
+    const sample: DemandSample = { at, load, forecast: load }
     this.samples.push(sample)
-    sample.foreseen = this.foreseen(aheadMs)
+    sample.forecast = this.foreseen(horizonMs)
     const since = at - Math.max(keptMs, MAX_TREND_WINDOW_MS)
     const firstKept = this.samples.findIndex(({ at }) => at > since)
     if (firstKept > 1) this.samples = this.samples.slice(firstKept - 1)
   }
 
   /** Returns the highest forecast of the samples within a time, in ms. */
-  mostForeseen (withinMs: number): number {
-    return this.samplesWithin(withinMs).reduce((most, { foreseen }) => Math.max(most, foreseen), 0)
+  findMaxForecast (withinMs: number): number {
+    return this.samplesWithin(withinMs).reduce((most, { forecast }) => Math.max(most, forecast), 0)
   }
 
   /** Returns the expected load after `aheadMs`. The forecast continues a rise, but not a fall. */
--- a/control/program/src/grant-ledger.ts
+++ b/control/program/src/grant-ledger.ts
@@ -8,41 +8,41 @@
  * all. All requests that reach an endpoint within one window therefore come from grants of one span, and the ledger bounds the
  * sum of these grants.
  */
-import { boundOfRate, SendLog, type RateBound } from '@gullwall/routing.rates'
+import { createRateBound, SendLog, type RateBound } from '@gullwall/routing.rates'
 import { type Grant } from '@gullwall/transport.messages'
 
 /** A bound on the requests that are sent to an endpoint. */
 export interface GrantBound extends RateBound {
   /** Validity of a grant, counted from the time of its request, in ms. */
-  useMs: number
+  validMs: number
   /** Longest time between the end of the validity and the sending of a request that was dispatched within the validity, in ms. */
-  sentWithinMs: number
+  maxSendDelayMs: number
   /** Largest number of requests in one grant. Requests that a box does not use within the validity are lost to all boxes. */
-  maxGrant: number
+  maxRequestsPerGrant: number
   /** Whether refused boxes get staggered retry times, instead of all retrying as soon as requests are available. */
   isQueued: boolean
   /** Delay after the first request for an endpoint, in ms. Boxes that do not know the bound yet send requests without grants. */
-  settleMs: number
+  initialDelayMs: number
 }
 
 /** Window of the bound of a cold endpoint, in ms. */
-export const WINDOW_MS = 1000
+export const COLD_WINDOW_MS = 1000
 /** Validity of a grant for a cold endpoint, in ms: a round trip through two control processes and a few request arrivals. */
-export const GRANT_USE_MS = 500
+export const COLD_GRANT_VALID_MS = 500
 /** Longest sending delay after the validity of a grant for a cold endpoint, in ms. Connecting takes at most 350 ms. */
-export const SENT_WITHIN_MS = 400
+export const COLD_MAX_SEND_DELAY_MS = 400
 /** Largest number of requests in one grant for a cold endpoint. */
-export const MAX_GRANT = 5
+export const COLD_MAX_REQUESTS_PER_GRANT = 5
 /** Validity of a grant under an advertised limit, in ms. Requests wait for the grant and send their first byte within the validity. */
-export const LIMIT_USE_MS = 250
+export const LIMIT_GRANT_VALID_MS = 250
 /** Largest relative difference by which the clock of the ledger may run faster than the clock of an endpoint. */
 const ENDPOINT_CLOCK_MARGIN = 0.025
 /** Largest relative difference by which the clock of the ledger may run faster than the clock of a box that uses a grant. */
 const BOX_CLOCK_MARGIN = 0.05
 /** Delay before the first grant for a cold endpoint, in ms: one heartbeat interval and its propagation to all boxes. */
-export const SETTLE_MS = 1100
+export const COLD_INITIAL_DELAY_MS = 1100
 /** Delay before the first grant under an advertised limit, in ms: the propagation of the limit to all boxes. */
-export const LIMIT_SETTLE_MS = 250
+export const LIMIT_INITIAL_DELAY_MS = 250
 const COLD_PARTS = 2
 /** An endpoint without requests is removed after this time, in ms. The time exceeds every span and the gaps of light traffic. */
 const IDLE_RETENTION_MS = 30_000
@@ -56,34 +56,41 @@
 const QUEUE_TIMEOUT_MS = 1000
 
 /** Returns the bound of a cold endpoint that may get `requests` requests within any window of `WINDOW_MS`. */
-export function coldGrantBound (requests: number): GrantBound {
+export function createColdGrantBound (requests: number): GrantBound {
   return {
     requests,
-    windowMs: WINDOW_MS,
-    parts: COLD_PARTS,
-    extra: 0,
-    useMs: GRANT_USE_MS,
-    sentWithinMs: SENT_WITHIN_MS,
-    maxGrant: MAX_GRANT,
+    windowMs: COLD_WINDOW_MS,
+    segments: COLD_PARTS,
+    extraPerSegment: 0,
+    validMs: COLD_GRANT_VALID_MS,
+    maxSendDelayMs: COLD_MAX_SEND_DELAY_MS,
+    maxRequestsPerGrant: COLD_MAX_REQUESTS_PER_GRANT,
     isQueued: false,
-    settleMs: SETTLE_MS
+    initialDelayMs: COLD_INITIAL_DELAY_MS
   }
 }
 
 /** Returns the bound of an endpoint that advertises a limit in requests per second. Returns undefined if the rate is too high to bound. */
-export function limitGrantBound (perSecond: number): GrantBound | undefined {
-  const bound = boundOfRate(perSecond)
+export function createLimitGrantBound (perSecond: number): GrantBound | undefined {
+  const bound = createRateBound(perSecond)
   if (bound === undefined) return undefined
-  return { ...bound, useMs: LIMIT_USE_MS, sentWithinMs: 0, maxGrant: bound.requests, isQueued: true, settleMs: LIMIT_SETTLE_MS }
+  return {
+    ...bound,
+    validMs: LIMIT_GRANT_VALID_MS,
+    maxSendDelayMs: 0,
+    maxRequestsPerGrant: bound.requests,
+    isQueued: true,
+    initialDelayMs: LIMIT_INITIAL_DELAY_MS
+  }
 }
 
 /** Returns the span of a bound, in ms. Requests of two grants that are further apart than the span never fall into one window. */
-export function spanOf ({ windowMs, useMs, sentWithinMs }: GrantBound): number {
-  return Math.ceil((1 + ENDPOINT_CLOCK_MARGIN) * windowMs + (1 + BOX_CLOCK_MARGIN) * (useMs + sentWithinMs))
+export function computeAccountingWindowMs ({ windowMs, validMs, maxSendDelayMs }: GrantBound): number {
+  return Math.ceil((1 + ENDPOINT_CLOCK_MARGIN) * windowMs + (1 + BOX_CLOCK_MARGIN) * (validMs + maxSendDelayMs))
 }
 
 /** The span of the grants for cold endpoints, in ms. */
-export const SPAN_MS = spanOf(coldGrantBound(0))
+export const COLD_ACCOUNTING_WINDOW_MS = computeAccountingWindowMs(createColdGrantBound(0))
 
 /** The grants for one endpoint. */
 interface Account {
@@ -99,7 +106,7 @@
   queue: Map<string, number>
 }
 
-export interface LedgerAsk {
+export interface LedgerRequest {
   incarnation: string
   /** Name of the requesting box. */
   box: string
@@ -108,7 +115,7 @@
   /** All bounds of the endpoint. An endpoint without bounds is granted nothing. */
   bounds: readonly GrantBound[]
   /** The latest cold status of the endpoint, by the clock of the ledger; undefined if the endpoint does not report one. */
-  word?: { heardAt: number, coldMs: number } | undefined
+  coldStatus?: { receivedAt: number, coldMs: number } | undefined
 }
 
 export interface LedgerOptions {
@@ -117,10 +124,10 @@
    * last grant at least `SPAN_MS` before. Grants under advertised limits start at that time, minus the possible grants of the
    * previous leader.
    */
-  opensAt: number
-  spanOf?: (bound: GrantBound) => number
+  startsAt: number
+  computeAccountingWindowMs?: (bound: GrantBound) => number
   /** Replaces the `settleMs` of the bounds, in ms. */
-  settleMs?: number
+  initialDelayMs?: number
 }
 
 export class GrantLedger {
@@ -129,28 +136,28 @@
   private readonly spanOf: (bound: GrantBound) => number
   private readonly settleMs: number | undefined
 
-  constructor ({ opensAt, spanOf: span = spanOf, settleMs }: LedgerOptions) {
-    this.opensAt = opensAt
+  constructor ({ startsAt, computeAccountingWindowMs: span = computeAccountingWindowMs, initialDelayMs }: LedgerOptions) {
+    this.opensAt = startsAt
     this.spanOf = span
-    this.settleMs = settleMs
+    this.settleMs = initialDelayMs
   }
 
   /** Grants requests to an endpoint, or returns a grant of 0 requests with the retry delay. */
-  grant ({ incarnation, box, requests, bounds, word }: LedgerAsk, now: number): Grant {
+  grant ({ incarnation, box, requests, bounds, coldStatus }: LedgerRequest, now: number): Grant {
     const account = this.findOrCreateAccount(incarnation, now)
-    if (updateColdUntil(account, word)) account.firstRequestAt = now
+    if (updateColdUntil(account, coldStatus)) account.firstRequestAt = now
     account.lastRequestAt = now
     const spans = bounds.map((bound) => ({ ...bound, windowMs: this.spanOf(bound) }))
-    const longest = Math.max(SPAN_MS, ...spans.map(({ windowMs }) => windowMs))
-    account.grants.forgetBefore(now - Math.max(longest, IDLE_RETENTION_MS))
+    const longest = Math.max(COLD_ACCOUNTING_WINDOW_MS, ...spans.map(({ windowMs }) => windowMs))
+    account.grants.dropBefore(now - Math.max(longest, IDLE_RETENTION_MS))
     const opensAt = this.findStart(account, spans)
     if (now < opensAt) return createRefusal(incarnation, queueRetry(account, box, { bounds, freeMs: opensAt - now, now }))
-    const free = spans.map((span) => Math.min(span.maxGrant, account.grants.free(span, now)))
+    const free = spans.map((span) => Math.min(span.maxRequestsPerGrant, account.grants.remaining(span, now)))
     const granted = Math.min(requests, ...(free.length === 0 ? [0] : free))
     if (granted < 1) return createRefusal(incarnation, queueRetry(account, box, { bounds, freeMs: findDelayMs(account, spans, now), now }))
     account.grants.add(granted, now)
     account.queue.delete(box)
-    return { incarnation, requests: granted, withinMs: Math.min(...bounds.map(({ useMs }) => useMs)) }
+    return { incarnation, requests: granted, withinMs: Math.min(...bounds.map(({ validMs }) => validMs)) }
   }
 
   /** Removes endpoints without recent requests. */
@@ -161,20 +168,20 @@
   }
 
   /** Number of endpoints whose grants are counted. */
-  get size (): number {
+  get endpointCount (): number {
     return this.accounts.size
   }
 
   /** Returns when the first request may be granted under all bounds. Counts the possible grants of the previous leader under a limit. */
   private findStart (account: Account, spans: readonly GrantBound[]): number {
-    const previousLeaderEndedAt = this.opensAt - SPAN_MS
+    const previousLeaderEndedAt = this.opensAt - COLD_ACCOUNTING_WINDOW_MS
     const limit = spans.find(({ isQueued }) => isQueued)
     if (limit !== undefined && !account.isPreviousLeaderCounted) {
       account.isPreviousLeaderCounted = true
-      account.grants.assumeUsed(limit, previousLeaderEndedAt)
+      account.grants.assumeFullUse(limit, previousLeaderEndedAt)
     }
     const isCold = spans.some(({ isQueued }) => !isQueued)
-    const settleMs = this.settleMs ?? Math.max(0, ...spans.map((bound) => bound.settleMs))
+    const settleMs = this.settleMs ?? Math.max(0, ...spans.map((bound) => bound.initialDelayMs))
     return Math.max(isCold ? this.opensAt : previousLeaderEndedAt, account.firstRequestAt + settleMs)
   }
 
@@ -211,17 +218,17 @@
 
 /** Returns the time until every exhausted bound allows a request, in ms. */
 function findDelayMs ({ grants }: Account, spans: readonly RateBound[], now: number): number {
-  const exhausted = spans.filter((span) => grants.free(span, now) < 1)
-  return Math.max(MIN_RETRY_MS, ...exhausted.map((span) => grants.untilFree(span, now)))
+  const exhausted = spans.filter((span) => grants.remaining(span, now) < 1)
+  return Math.max(MIN_RETRY_MS, ...exhausted.map((span) => grants.waitMs(span, now)))
 }
 
 /** Updates the cold period. Returns true if the endpoint was warm in between, so that boxes may still send as to a warm endpoint. */
-function updateColdUntil (account: Account, word: LedgerAsk['word']): boolean {
+function updateColdUntil (account: Account, word: LedgerRequest['coldStatus']): boolean {
   if (word === undefined || word.coldMs === 0) return false
   const { coldUntil } = account
-  const until = word.heardAt + word.coldMs
+  const until = word.receivedAt + word.coldMs
   account.coldUntil = Math.max(until, coldUntil ?? -Infinity)
-  return coldUntil !== undefined && word.heardAt > coldUntil && word.coldMs > COLD_AGAIN_MS
+  return coldUntil !== undefined && word.receivedAt > coldUntil && word.coldMs > COLD_AGAIN_MS
 }
 
 function createRefusal (incarnation: string, waitMs: number): Grant {
--- a/control/program/src/granter.ts
+++ b/control/program/src/granter.ts
@@ -6,9 +6,9 @@
 import { RouteTable, type ColdLimit } from '@gullwall/config.document'
 import { GullwallError } from '@gullwall/core.error'
 import { counter, gauge, type Counter, type Registry } from '@gullwall/core.metrics'
-import { type Grant, type GrantWish, type MessageOf } from '@gullwall/transport.messages'
-import { GrantDuty } from './grant-duty.ts'
-import { coldGrantBound, limitGrantBound, type GrantBound, type GrantLedger, type LedgerAsk } from './grant-ledger.ts'
+import { type Grant, type GrantRequest, type MessageOf } from '@gullwall/transport.messages'
+import { LeasedGrantLedger } from './leased-grant-ledger.ts'
+import { createColdGrantBound, createLimitGrantBound, type GrantBound, type GrantLedger, type LedgerRequest } from './grant-ledger.ts'
 import { type ControlServices } from './index.ts'
 
 /** Interval at which the process checks whether it leads, in ms. */
@@ -20,31 +20,31 @@
   refused: Counter
 }
 
-export interface AskOptions {
+export interface GrantRequestOptions {
   /** Whether a peer forwarded the request. A forwarded request is not forwarded again. */
   isForwarded: boolean
 }
 
 /** Returns the largest number of requests that all boxes together may send to a cold endpoint within a second. */
-export function coldBound ({ perSecond }: Pick<ColdLimit, 'perSecond'>, cold = { overrun: 1, slack: 0 }): number {
+export function computeColdBound ({ perSecond }: Pick<ColdLimit, 'perSecond'>, cold = { overrun: 1, slack: 0 }): number {
   return Math.floor(perSecond * cold.overrun + cold.slack)
 }
 
 export class Granter {
-  private readonly leasedLedger: GrantDuty
+  private readonly leasedLedger: LeasedGrantLedger
   private table: RouteTable | undefined
   private metrics: GranterMetrics | undefined
   private timer: NodeJS.Timeout | undefined
 
   constructor (private readonly services: ControlServices) {
-    this.leasedLedger = new GrantDuty({
+    this.leasedLedger = new LeasedGrantLedger({
       leadingTerm: () => services.quorum.role === 'leader' ? services.quorum.status().term : undefined,
-      confirm: async () => await services.quorum.confirmRead()
+      confirmLeadership: async () => await services.quorum.confirmRead()
     })
   }
 
   start (): void {
-    this.timer = setInterval(() => this.leasedLedger.observe(), OBSERVE_MS)
+    this.timer = setInterval(() => this.leasedLedger.observeTerm(), OBSERVE_MS)
   }
 
   stop (): void {
@@ -58,30 +58,30 @@
       refused: counter(registry, 'gullwall_cold_refusals_total', 'Wishes for cold endpoints that were not granted here')
     }
     const endpoints = gauge(registry, 'gullwall_cold_endpoints', 'Endpoints whose grants are counted here')
-    Object.assign(endpoints, { collect: () => endpoints.set(this.leasedLedger.size) })
+    Object.assign(endpoints, { collect: () => endpoints.set(this.leasedLedger.endpointCount) })
   }
 
   /**
    * Decides the grant requests of an entry, here or at the leader.
    * @throws ERR_GULLWALL_NO_QUORUM, ERR_GULLWALL_NOT_LEADER, ERR_GULLWALL_LINK_CLOSED, ERR_GULLWALL_LINK_TIMEOUT
    */
-  async answer (message: MessageOf<'coldAsk'>, { isForwarded }: AskOptions): Promise<MessageOf<'coldGranted'>> {
+  async handleRequest (message: MessageOf<'coldAsk'>, { isForwarded }: GrantRequestOptions): Promise<MessageOf<'coldGranted'>> {
     if (this.services.quorum.role !== 'leader') {
-      if (!isForwarded) return await this.services.proposer.askGrants(message)
+      if (!isForwarded) return await this.services.proposer.requestGrants(message)
       throw new GullwallError('ERR_GULLWALL_NOT_LEADER', 'this process does not lead', { step: 'grant', hint: 'repeat the request' })
     }
-    const ledger = await this.leasedLedger.held()
+    const ledger = await this.leasedLedger.acquire()
     if (ledger === undefined) {
       throw new GullwallError('ERR_GULLWALL_NO_QUORUM', 'this leader does not hold the lease', { step: 'grant', hint: 'repeat the request' })
     }
     return { kind: 'coldGranted', grants: message.wishes.map((request) => this.decide(ledger, request, message.entry)) }
   }
 
-  private decide (ledger: GrantLedger, request: GrantWish, entry: string): Grant {
+  private decide (ledger: GrantLedger, request: GrantRequest, entry: string): Grant {
     const { incarnation, requests } = request
     const perSecond = this.findLimit(request)
     const bounds = this.findBounds(request, perSecond)
-    const ledgerRequest = { incarnation, box: entry, requests, bounds, word: this.findColdStatus(incarnation) }
+    const ledgerRequest = { incarnation, box: entry, requests, bounds, coldStatus: this.findColdStatus(incarnation) }
     const grant = { ...ledger.grant(ledgerRequest, performance.now()), perSecond }
     this.metrics?.requests.inc()
     if (grant.requests > 0) this.metrics?.granted.inc(grant.requests)
@@ -91,29 +91,29 @@
   }
 
   /** Returns the limit in requests per second: the smaller of the limits that the entry and this process know. */
-  private findLimit ({ incarnation, perSecond }: GrantWish): number | undefined {
+  private findLimit ({ incarnation, perSecond }: GrantRequest): number | undefined {
     const known = this.services.leases.get(incarnation)?.limit?.perSecond
     return perSecond === undefined || known === undefined ? perSecond ?? known : Math.min(perSecond, known)
   }
 
   /** Returns all bounds of an endpoint. An endpoint without bounds is granted nothing. */
-  private findBounds ({ incarnation, service, isWarm }: GrantWish, perSecond: number | undefined): GrantBound[] {
-    const limit = perSecond === undefined ? undefined : limitGrantBound(perSecond)
+  private findBounds ({ incarnation, service, isWarm }: GrantRequest, perSecond: number | undefined): GrantBound[] {
+    const limit = perSecond === undefined ? undefined : createLimitGrantBound(perSecond)
     const isCold = isWarm !== true || (this.services.leases.get(incarnation)?.coldMs ?? 0) > 0
     const coldLimit = isCold ? this.findColdLimit(service) : undefined
-    const cold = coldLimit === undefined ? undefined : coldGrantBound(coldBound(coldLimit, this.services.settings.cold))
+    const cold = coldLimit === undefined ? undefined : createColdGrantBound(computeColdBound(coldLimit, this.services.settings.cold))
     return [limit, cold].filter((bound) => bound !== undefined)
   }
 
-  private findColdStatus (incarnation: string): LedgerAsk['word'] {
+  private findColdStatus (incarnation: string): LedgerRequest['coldStatus'] {
     const lease = this.services.leases.get(incarnation)
-    return lease?.coldMs === undefined ? undefined : { heardAt: lease.heardAt, coldMs: lease.coldMs }
+    return lease?.coldMs === undefined ? undefined : { receivedAt: lease.receivedAt, coldMs: lease.coldMs }
   }
 
   private log ({ entry, requests, bounds, grant }: { entry: string, requests: number, bounds: readonly GrantBound[], grant: Grant }): void {
     const { incarnation, withinMs } = grant
     const lease = this.services.leases.get(incarnation)
-    const status = lease === undefined ? 'no lease known' : `status ${Math.round(performance.now() - lease.heardAt)} ms old, cold for ${lease.coldMs ?? '?'} ms then`
+    const status = lease === undefined ? 'no lease known' : `status ${Math.round(performance.now() - lease.receivedAt)} ms old, cold for ${lease.coldMs ?? '?'} ms then`
     const outcome = grant.requests > 0 ? `${grant.requests} of ${requests} within ${withinMs} ms` : `none of ${requests}, retry after ${withinMs} ms`
     const event = grant.requests > 0 ? 'granted' : 'not-granted'
     this.services.logger.sampled(event, {
--- a/control/program/src/duty-lease.ts
+++ b/control/program/src/leader-lease.ts
@@ -7,24 +7,24 @@
 import { suspensions } from '@gullwall/core.clock'
 
 /** An acquired lease. The holder sends the token with each call, and a higher token invalidates all lower ones. */
-export interface Fence {
+export interface AcquiredLease {
   token: number
   /** Time until which the holder may start a call, by the monotonic clock. */
   validUntil: number
   /** Total time that this process had been suspended when it requested the lease, in ms. Later suspensions shorten the validity. */
-  sleptMs: number
+  suspendedMsAtAcquire: number
 }
 
-export interface DutyLeaseOptions {
+export interface LeaderLeaseOptions {
   /** Time between the last possible start of a call by one holder and the first call by the next holder, in ms. */
   leaseMs: number
   /** The term in which this process leads; undefined while it does not. */
   leadingTerm: () => number | undefined
   /** Asks a majority whether this process still leads. Resolves once the majority has confirmed it after the call. */
-  confirm: () => Promise<unknown>
+  confirmLeadership: () => Promise<unknown>
   now?: () => number
   /** Returns the total time that this process has been suspended, in ms. */
-  slept?: () => number
+  suspendedMs?: () => number
 }
 
 /**
@@ -33,7 +33,7 @@
  */
 const ACTING_SHARE = 0.5
 
-export class DutyLease {
+export class LeaderLease {
   private term: number | undefined
   private ledSince = -Infinity
   /** The token that an external system has refused because it received a higher one. */
@@ -41,14 +41,14 @@
   private readonly now: () => number
   private readonly slept: () => number
 
-  constructor (private readonly options: DutyLeaseOptions) {
+  constructor (private readonly options: LeaderLeaseOptions) {
     this.now = options.now ?? (() => performance.now())
-    this.slept = options.slept ?? (() => suspensions.slept())
+    this.slept = options.suspendedMs ?? (() => suspensions.suspendedMs())
   }
 
   /** Acquires the lease. Returns undefined while this process may not act. */
-  async acquire (): Promise<Fence | undefined> {
-    const { leaseMs, confirm } = this.options
+  async acquire (): Promise<AcquiredLease | undefined> {
+    const { leaseMs, confirmLeadership } = this.options
     const token = this.observeTerm()
     if (token === undefined || token === this.refusedToken) return undefined
     // The previous leader may have been confirmed until just before this process was elected.
@@ -56,22 +56,22 @@
     const askedAt = this.now()
     const sleptMs = this.slept()
     try {
-      await confirm()
+      await confirmLeadership()
     } catch {
       // A leader that is cut off from the majority gets no confirmation and may not act.
       return undefined
     }
     if (this.observeTerm() !== token) return undefined
-    return { token, validUntil: askedAt + ACTING_SHARE * leaseMs, sleptMs }
+    return { token, validUntil: askedAt + ACTING_SHARE * leaseMs, suspendedMsAtAcquire: sleptMs }
   }
 
-  isValid ({ token, validUntil, sleptMs }: Fence): boolean {
-    const now = this.now() + this.slept() - sleptMs
+  isValid ({ token, validUntil, suspendedMsAtAcquire }: AcquiredLease): boolean {
+    const now = this.now() + this.slept() - suspendedMsAtAcquire
     return this.observeTerm() === token && token !== this.refusedToken && now < validUntil
   }
 
   /** Records that an external system refused the token, so that this process does not act again in this term. */
-  noteRefused (token: number): void {
+  recordRefusedToken (token: number): void {
     this.refusedToken = token
   }
 
--- a/control/program/src/lease-store.ts
+++ b/control/program/src/lease-store.ts
@@ -8,7 +8,7 @@
 import { messageOf } from '@gullwall/core.error'
 import { leaseSchema, type Lease } from '@gullwall/transport.messages'
 import { type ControlServices } from './index.ts'
-import { PacedAction } from './paced-action.ts'
+import { ThrottledAction } from './throttled-action.ts'
 
 const FILE = 'leases'
 /** Shortest interval between two writes of the file, in ms. Changes of state cause a write, refreshes of leases do not. */
@@ -22,7 +22,7 @@
 const fileSchema = z.array(leaseSchema)
 
 export class LeaseStore {
-  private readonly saving = new PacedAction(() => SAVE_INTERVAL_MS, () => { void this.save() })
+  private readonly saving = new ThrottledAction(() => SAVE_INTERVAL_MS, () => { void this.save() })
   private isSaving = false
   private isStopped = false
 
@@ -44,7 +44,7 @@
   }
 
   /** Requests a write because leases have changed. */
-  changed (): void {
+  requestSave (): void {
     if (!this.isStopped) this.saving.request()
   }
 
@@ -55,7 +55,7 @@
 
   private async save (): Promise<void> {
     if (this.isSaving) {
-      this.changed()
+      this.requestSave()
       return
     }
     this.isSaving = true
@@ -63,7 +63,7 @@
       await writeChecked(this.services.disk, FILE, JSON.stringify(this.services.leases.toWire()))
     } catch (error) {
       this.log('the leases can\'t be stored', error)
-      this.changed()
+      this.requestSave()
     } finally {
       this.isSaving = false
     }
--- a/control/program/src/work-relay.ts
+++ b/control/program/src/load-relay.ts
@@ -5,9 +5,9 @@
  */
 import { ReadingTable, WorkloadTable } from '@gullwall/control.workload'
 import { type Link } from '@gullwall/transport.link'
-import { type Holding, type MessageOf, type Reading, type WorkSummary } from '@gullwall/transport.messages'
+import { type Holding, type MessageOf, type Reading, type LoadSummary } from '@gullwall/transport.messages'
 import { type ControlServices } from './index.ts'
-import { PacedAction } from './paced-action.ts'
+import { ThrottledAction } from './throttled-action.ts'
 
 /**
  * Publishing interval for each entry of the deployment, in ms. Changes within the interval are published together, and the first
@@ -55,14 +55,14 @@
 type SourceFilter = (source: Link) => boolean
 
 /** The load of the whole deployment as this process knows it. */
-export interface AllWork {
-  works: WorkSummary[]
+export interface LoadSnapshot {
+  works: LoadSummary[]
   readings: Reading[]
   /** Number of peers that sent a message recently. */
-  peersHeard: number
+  activePeerCount: number
 }
 
-export class WorkRelay {
+export class LoadRelay {
   private readonly table = new WorkloadTable<Link>()
   /** The entries that send their load to this process, by link. */
   private readonly entries = new Map<Link, LinkedEntry>()
@@ -72,13 +72,13 @@
   private pending = noChanges()
   /** Changes to publish to the peers of other regions. */
   private otherRegionPending = noChanges()
-  private readonly publishing = new PacedAction(() => this.intervalMs, () => this.publish())
-  private readonly publishingToOtherRegions = new PacedAction(() => OTHER_REGION_INTERVAL_MS, () => this.publishToOtherRegions())
+  private readonly publishing = new ThrottledAction(() => this.intervalMs, () => this.publish())
+  private readonly publishingToOtherRegions = new ThrottledAction(() => OTHER_REGION_INTERVAL_MS, () => this.publishToOtherRegions())
   private readonly readings = new ReadingTable()
-  private readonly publishingReadings = new PacedAction(() => READINGS_INTERVAL_MS, () => this.publishReadings())
+  private readonly publishingReadings = new ThrottledAction(() => READINGS_INTERVAL_MS, () => this.publishReadings())
   private repeatTimer: NodeJS.Timeout | undefined
 
-  constructor (private readonly services: Pick<ControlServices, 'peers' | 'nearness'>) {}
+  constructor (private readonly services: Pick<ControlServices, 'peers' | 'proximity'>) {}
 
   start (): void {
     this.repeatTimer = setInterval(() => this.sendRepeats(), REPEAT_INTERVAL_MS)
@@ -92,12 +92,12 @@
   }
 
   /** Returns the load of all entries as this process knows it. */
-  everything (): AllWork {
-    return { works: this.createSnapshot(() => true).works, readings: this.readings.all(performance.now()), peersHeard: this.peersHeard }
+  getSnapshot (): LoadSnapshot {
+    return { works: this.createSnapshot(() => true).works, readings: this.readings.all(performance.now()), activePeerCount: this.peersHeard }
   }
 
   /** Receives the load summaries of an entry. */
-  fromEntry (link: Link, { works, holdings, observations, listens }: MessageOf<'work'>): void {
+  receiveFromEntry (link: Link, { works, holdings, observations, listens }: MessageOf<'work'>): void {
     if (!listens) {
       this.removeEntry(link)
       return
@@ -113,19 +113,19 @@
   }
 
   /** Receives the sums over the entries of a peer. */
-  fromPeer (link: Link, { whole, works, holdings }: MessageOf<'workSums'>): void {
+  receiveFromPeer (link: Link, { whole, works, holdings }: MessageOf<'workSums'>): void {
     this.peerReceivedAt.set(link, performance.now())
     this.recordChanges(link, whole ? this.table.replace(link, works) : this.table.update(link, works))
     this.recordHoldings(link, holdings)
   }
 
   /** Sends the sums over the entries of this process to a peer whose link has just opened. */
-  tellWhole (peer: Link): void {
+  sendSnapshot (peer: Link): void {
     peer.send(this.createSnapshot(isEntry))
   }
 
   /** Removes the load that was received over a link that has closed. */
-  closed (link: Link): void {
+  removeLink (link: Link): void {
     this.peerReceivedAt.delete(link)
     if (this.entries.has(link)) this.removeEntry(link)
     else this.recordChanges(link, this.table.remove(link))
@@ -172,8 +172,8 @@
   }
 
   private findPeers (region: 'same region' | 'other region'): Link[] {
-    const { peers, nearness } = this.services
-    return peers.links().filter((peer) => (nearness.distanceTo(peer) === 'other region') === (region === 'other region'))
+    const { peers, proximity } = this.services
+    return peers.links().filter((peer) => (proximity.getDistanceTo(peer) === 'other region') === (region === 'other region'))
   }
 
   private publish (): void {
@@ -214,7 +214,7 @@
     return works.length + holdings.length === 0 ? undefined : this.createMessage(works, holdings)
   }
 
-  private createMessage (works: WorkSummary[], holdings: Holding[] = []): MessageOf<'workSums'> {
+  private createMessage (works: LoadSummary[], holdings: Holding[] = []): MessageOf<'workSums'> {
     return { kind: 'workSums', whole: false, peers: this.peersHeard, works, holdings }
   }
 
--- a/control/program/src/order-calls.ts
+++ b/control/program/src/order-call-tracker.ts
@@ -18,25 +18,25 @@
   uncertainCalls: UncertainCall[]
 }
 
-export class OrderCalls {
+export class OrderCallTracker {
   private readonly calls = new Map<string, CallState>()
 
   /**
    * Whether an order must be sent: it was not delivered under this token, or an older call may have been executed later. A new lease
    * holder also sends an order that the previous holder delivered, since the higher token invalidates the pending calls of that holder.
    */
-  isDue (key: string, { number, desired }: ScalingOrder, token: number, now: number): boolean {
+  isCallDue (key: string, { number, desired }: ScalingOrder, token: number, now: number): boolean {
     const { delivered, uncertainCalls } = this.stateOf(key)
     if (delivered?.token !== token || delivered.order !== number) return true
     return uncertainCalls.some((call) => call.desired !== desired && call.until <= now)
   }
 
-  noteDelivered (key: string, { number }: ScalingOrder, token: number, now: number): void {
+  recordDelivered (key: string, { number }: ScalingOrder, token: number, now: number): void {
     const uncertainCalls = this.stateOf(key).uncertainCalls.filter(({ until }) => until > now)
     this.calls.set(key, { delivered: { token, order: number }, uncertainCalls })
   }
 
-  noteFailed (key: string, { desired }: ScalingOrder, now: number): void {
+  recordFailed (key: string, { desired }: ScalingOrder, now: number): void {
     const { delivered, uncertainCalls } = this.stateOf(key)
     const others = uncertainCalls.filter((call) => call.desired !== desired)
     this.calls.set(key, { delivered, uncertainCalls: [...others, { desired, until: now + MAX_CALL_DELAY_MS }] })
--- a/control/program/src/order-caller.ts
+++ b/control/program/src/order-caller.ts
@@ -9,15 +9,15 @@
 const DISCONNECT_DELAY_MS = 45
 
 export interface OrderCaller {
-  readonly hasLeft: boolean
+  readonly isDisconnected: boolean
   /** Checks whether the caller disconnected before the order was read. */
-  leftBefore: () => Promise<boolean>
+  wasDisconnectedBefore: () => Promise<boolean>
 }
 
 export class HttpCaller implements OrderCaller {
   constructor (private readonly response: ServerResponse) {}
 
-  get hasLeft (): boolean {
+  get isDisconnected (): boolean {
     const { destroyed, closed, socket } = this.response
     return destroyed || closed || socket === null || socket.readableEnded
   }
@@ -26,10 +26,10 @@
    * Waits for a possible end of the connection. If an order was delayed by the network or by a suspended process, the end of its
    * connection is read together with the order or within a round trip after it.
    */
-  async leftBefore (): Promise<boolean> {
+  async wasDisconnectedBefore (): Promise<boolean> {
     await nextTurn()
     await nextTurn()
-    return this.hasLeft || await this.disconnectsWithin(DISCONNECT_DELAY_MS)
+    return this.isDisconnected || await this.disconnectsWithin(DISCONNECT_DELAY_MS)
   }
 
   private async disconnectsWithin (ms: number): Promise<boolean> {
@@ -40,7 +40,7 @@
         clearTimeout(timer)
         response.off('close', settle)
         socket?.off('end', settle)
-        resolve(this.hasLeft)
+        resolve(this.isDisconnected)
       }
       const timer = setTimeout(settle, ms)
       response.once('close', settle)
--- a/control/program/src/registrar.ts
+++ b/control/program/src/registrar.ts
@@ -4,12 +4,12 @@
  */
 import { GullwallError } from '@gullwall/core.error'
 import { gauge, type Registry } from '@gullwall/core.metrics'
-import { lifeOf, limitFromWire, type HeldLease } from '@gullwall/control.registry'
+import { lifeOf, limitFromWire, type KnownLease } from '@gullwall/control.registry'
 import { type Link } from '@gullwall/transport.link'
 import { type Lease, type MessageOf } from '@gullwall/transport.messages'
 import { type ControlServices } from './index.ts'
-import { type Turn } from './nearness.ts'
-import { PacedAction } from './paced-action.ts'
+import { type PublishPriority } from './proximity.ts'
+import { ThrottledAction } from './throttled-action.ts'
 
 /** Interval at which refreshed leases are published together, in ms. */
 const REFRESH_INTERVAL_MS = 3000
@@ -42,9 +42,9 @@
   private readonly pendingNear = new Set<string>()
   private readonly pendingFar = new Set<string>()
   private readonly pendingFarthest = new Set<string>()
-  private readonly publishingNear = new PacedAction(() => NEAR_INTERVAL_MS, () => this.publish('first', drain(this.pendingNear)))
-  private readonly publishingFar = new PacedAction(() => FAR_INTERVAL_MS, () => this.publish('second', drain(this.pendingFar)))
-  private readonly publishingFarthest = new PacedAction(() => FARTHEST_INTERVAL_MS, () => this.publish('last', drain(this.pendingFarthest)))
+  private readonly publishingNear = new ThrottledAction(() => NEAR_INTERVAL_MS, () => this.publish('first', drain(this.pendingNear)))
+  private readonly publishingFar = new ThrottledAction(() => FAR_INTERVAL_MS, () => this.publish('second', drain(this.pendingFar)))
+  private readonly publishingFarthest = new ThrottledAction(() => FARTHEST_INTERVAL_MS, () => this.publish('last', drain(this.pendingFarthest)))
 
   constructor (private readonly services: ControlServices) {}
 
@@ -63,7 +63,7 @@
    * Receives one heartbeat.
    * @throws ERR_GULLWALL_NO_QUORUM if the endpoint is not ready and no majority confirms that state in time
    */
-  async hear (lease: Lease): Promise<void> {
+  async receiveHeartbeat (lease: Lease): Promise<void> {
     const { leases } = this.services
     const [merged] = leases.merge([lease])
     if (lease.state !== 'ready') {
@@ -76,38 +76,40 @@
   }
 
   /** Receives from an entry the endpoints that announced in a response that they are draining. */
-  hearDraining (incarnations: readonly string[]): void {
-    const changes = incarnations.filter((incarnation) => this.services.leases.noteDraining(incarnation))
+  receiveDraining (incarnations: readonly string[]): void {
+    const changes = incarnations.filter((incarnation) => this.services.leases.recordDraining(incarnation))
     if (changes.length > 0) this.publishToPeers(changes)
   }
 
   /** Receives from an entry the limits that endpoints advertised. */
-  hearLimits (limits: MessageOf<'limits'>['limits']): void {
+  receiveLimits (limits: MessageOf<'limits'>['limits']): void {
     const { leases } = this.services
     const now = performance.now()
     const changes = limits
-      .filter((limit) => leases.noteLimit(limit.incarnation, limitFromWire(limit, now)))
+      .filter(
+      (limit) => leases.recordLimit(limit.incarnation, limitFromWire(limit, now))
+    )
       .map(({ incarnation }) => incarnation)
     if (changes.length === 0) return
     this.publishToPeers(changes)
-    this.changed(changes.flatMap((incarnation) => leases.get(incarnation) ?? []))
+    this.publishChanges(changes.flatMap((incarnation) => leases.get(incarnation) ?? []))
   }
 
   /**
    * Marks an endpoint as gone. This includes an unknown endpoint, since its heartbeats may still arrive. Without the start time
    * `born` the latest incarnation of the endpoint is marked.
    */
-  async leave (name: string, born?: number): Promise<void> {
+  async markGone (name: string, born?: number): Promise<void> {
     const { leases } = this.services
     const requested = lifeOf(name, born)
     const known = leases.get(born === undefined ? leases.incarnationOf(name) : requested.incarnation)
     const { service, address, dataCentre, slots, sequence } = known ?? UNKNOWN_LEASE
     const { incarnation, life } = known ?? requested
-    await this.hear({ incarnation, life, service, address, dataCentre, slots, sequence: sequence + 1, state: 'gone', ageMs: 0 })
+    await this.receiveHeartbeat({ incarnation, life, service, address, dataCentre, slots, sequence: sequence + 1, state: 'gone', ageMs: 0 })
   }
 
   /** Counts and logs an invalid report about an endpoint. The report has no other effect. */
-  refused (name: string, reason: string): void {
+  recordInvalidReport (name: string, reason: string): void {
     this.invalidReports += 1
     this.services.logger.sampled('invalid endpoint report', {
       channel: 'endpoint', event: 'refused', endpoint: name.slice(0, MAX_LOGGED_LENGTH), why: `${reason.slice(0, MAX_LOGGED_LENGTH)}; ${this.invalidReports} invalid reports since the start`
@@ -121,7 +123,7 @@
   }
 
   /** Publishes changed leases to the linked entries. */
-  changed (changed: readonly HeldLease[]): void {
+  publishChanges (changed: readonly KnownLease[]): void {
     for (const { incarnation } of changed) {
       this.pendingNear.add(incarnation)
       this.pendingFar.add(incarnation)
@@ -133,21 +135,21 @@
   }
 
   /** Receives leases from a peer. Leases that are only refreshed are published to nearby entries. */
-  learn (received: readonly Lease[]): void {
+  receiveFromPeer (received: readonly Lease[]): void {
     const { leases } = this.services
     const outcomes = leases.merge(received)
     this.publish('first', received.filter((_lease, index) => outcomes[index] === 'refreshed').map(({ incarnation }) => incarnation))
   }
 
   /** Publishes leases to the linked entries that have a given turn. */
-  private publish (turn: Turn, incarnations: readonly string[]): void {
-    this.publishToEntries(incarnations, (link) => this.services.nearness.turnFor(link) === turn)
+  private publish (turn: PublishPriority, incarnations: readonly string[]): void {
+    this.publishToEntries(incarnations, (link) => this.services.proximity.getPublishPriority(link) === turn)
   }
 
   private publishToEntries (incarnations: readonly string[], isIncluded: (link: Link) => boolean): void {
     if (incarnations.length === 0) return
     const message = { kind: 'leases', leases: this.wire(incarnations) } as const
-    this.services.server.toEntries((link) => { if (isIncluded(link)) link.send(message) })
+    this.services.server.forEachEntry((link) => { if (isIncluded(link)) link.send(message) })
   }
 
   private wire (incarnations: Iterable<string>): Lease[] {
@@ -156,7 +158,7 @@
   }
 
   /** Sends all leases on a link that has just opened. */
-  tellAll (link: Link): void {
+  sendAllLeases (link: Link): void {
     link.send({ kind: 'leases', leases: this.services.leases.toWire() })
   }
 
@@ -185,7 +187,7 @@
     this.rounds += 1
     this.publishToPeers(incarnations)
     const isFullRefresh = this.rounds % ROUNDS_PER_FULL_REFRESH === 0
-    this.publishToEntries(incarnations, (link) => isFullRefresh || this.services.nearness.turnFor(link) === 'first')
+    this.publishToEntries(incarnations, (link) => isFullRefresh || this.services.proximity.getPublishPriority(link) === 'first')
   }
 }
 
--- a/control/program/src/scaling-orderer.ts
+++ b/control/program/src/scaling-controller.ts
@@ -7,21 +7,21 @@
 import { messageOf } from '@gullwall/core.error'
 import { type Logger } from '@gullwall/core.logger'
 import { counter, gauge, type Counter, type Gauge, type Registry } from '@gullwall/core.metrics'
-import { CallBudget } from './call-budget.ts'
-import { type DutyLease, type Fence } from './duty-lease.ts'
-import { OrderCalls } from './order-calls.ts'
-import { type SeenDemand } from './scaling-demand.ts'
+import { CallRateLimiter } from './call-rate-limiter.ts'
+import { type LeaderLease, type AcquiredLease } from './leader-lease.ts'
+import { OrderCallTracker } from './order-call-tracker.ts'
+import { type ObservedDemand } from './scaling-demand.ts'
 import { ScalingPolicy } from './scaling-policy.ts'
 import { type ScalingSink } from './scaling-sink.ts'
 import { type DeliveryOutcome } from './usage-sink.ts'
 
-export interface ScalingOrdererOptions {
-  lease: Pick<DutyLease, 'acquire' | 'isValid' | 'noteRefused' | 'observeTerm'>
+export interface ScalingControllerOptions {
+  lease: Pick<LeaderLease, 'acquire' | 'isValid' | 'recordRefusedToken' | 'observeTerm'>
   orders: Pick<ScalingOrders, 'of'>
   /** Decides an order in the replicated log. */
   decide: (command: DecideScalingCommand) => Promise<ScalingResult>
   /** Returns the current demand. */
-  see: () => SeenDemand[]
+  observeDemand: () => ObservedDemand[]
   /** Receives the orders. If undefined, demand is not evaluated. */
   sink: ScalingSink | undefined
   holder: string
@@ -34,7 +34,7 @@
 /** Interval between two evaluations of the demand, in ms. */
 const EVALUATION_INTERVAL_MS = 500
 
-interface ScaledService extends SeenDemand {
+interface ScaledService extends ObservedDemand {
   key: string
   policy: ScalingPolicy
 }
@@ -45,22 +45,22 @@
   desired: Gauge<'service' | 'data_centre'>
 }
 
-export class ScalingOrderer {
+export class ScalingController {
   private readonly scaledServices = new Map<string, ScaledService>()
-  private readonly calls = new OrderCalls()
-  private readonly budget: CallBudget
+  private readonly calls = new OrderCallTracker()
+  private readonly budget: CallRateLimiter
   private readonly now: () => number
   private metrics: OrdererMetrics | undefined
   private timer: NodeJS.Timeout | undefined
   private isBusy = false
 
-  constructor (private readonly options: ScalingOrdererOptions) {
+  constructor (private readonly options: ScalingControllerOptions) {
     this.now = options.now ?? (() => performance.now())
-    this.budget = new CallBudget(options.callsPerSecond)
+    this.budget = new CallRateLimiter(options.callsPerSecond)
   }
 
   start (): void {
-    if (this.options.sink !== undefined) this.timer = setInterval(() => { void this.look() }, EVALUATION_INTERVAL_MS)
+    if (this.options.sink !== undefined) this.timer = setInterval(() => { void this.runOnce() }, EVALUATION_INTERVAL_MS)
   }
 
   stop (): void {
@@ -76,7 +76,7 @@
   }
 
   /** Records the demand, so that every process knows its history. Decides and sends orders if this process leads. */
-  async look (): Promise<void> {
+  async runOnce (): Promise<void> {
     const term = this.options.lease.observeTerm()
     this.recordDemand()
     if (term === undefined || this.isBusy) return
@@ -94,7 +94,7 @@
   private recordDemand (): void {
     const now = this.now()
     const observedKeys = new Set<string>()
-    for (const part of this.options.see()) {
+    for (const part of this.options.observeDemand()) {
       const key = JSON.stringify([part.service, part.dataCentre])
       const policy = this.scaledServices.get(key)?.policy ?? new ScalingPolicy()
       policy.observe(part.demand, part.scaling, now)
@@ -122,8 +122,8 @@
         return
       }
       const order = this.findOrder(scaled)
-      if (order === undefined || !this.calls.isDue(scaled.key, order, fence.token, this.now())) continue
-      if (!this.budget.mayCall(this.now())) return
+      if (order === undefined || !this.calls.isCallDue(scaled.key, order, fence.token, this.now())) continue
+      if (!this.budget.canCall(this.now())) return
       await this.send(scaled, order, fence)
     }
   }
@@ -132,8 +132,8 @@
   private isDue (scaled: ScaledService): boolean {
     const token = this.options.lease.observeTerm()
     const order = this.findOrder(scaled)
-    if (token === undefined || !this.budget.mayTry(this.now())) return false
-    return this.decideNext(scaled) !== undefined || (order !== undefined && this.calls.isDue(scaled.key, order, token, this.now()))
+    if (token === undefined || !this.budget.isBackoffOver(this.now())) return false
+    return this.decideNext(scaled) !== undefined || (order !== undefined && this.calls.isCallDue(scaled.key, order, token, this.now()))
   }
 
   private decideNext ({ policy, scaling, ...scaled }: ScaledService) {
@@ -157,11 +157,11 @@
     this.log('decided', scaled, this.options.lease.observeTerm() ?? 0, next.why)
   }
 
-  private async send (scaled: ScaledService, order: ScalingOrder, fence: Fence): Promise<void> {
+  private async send (scaled: ScaledService, order: ScalingOrder, fence: AcquiredLease): Promise<void> {
     const { lease, sink, holder } = this.options
     if (sink === undefined || !lease.isValid(fence)) return
     const { service, dataCentre, desired } = order
-    this.budget.noteCall(this.now())
+    this.budget.recordCall(this.now())
     const outcome = await sink.order({ service, dataCentre, desired, holder, ...fence })
     this.metrics?.calls.inc({ outcome: outcome.type })
     this.metrics?.desired.set({ service, data_centre: dataCentre }, desired)
@@ -171,21 +171,21 @@
   private recordOutcome (scaled: ScaledService, order: ScalingOrder, token: number, outcome: DeliveryOutcome): void {
     switch (outcome.type) {
       case 'delivered':
-        this.budget.noteAnswer()
-        this.calls.noteDelivered(scaled.key, order, token, this.now())
+        this.budget.recordSuccess()
+        this.calls.recordDelivered(scaled.key, order, token, this.now())
         this.log('ordered', scaled, token, 'accepted')
         break
       case 'fenced':
-        this.options.lease.noteRefused(token)
+        this.options.lease.recordRefusedToken(token)
         this.log('fenced', scaled, token, 'a higher fencing token was received; this process orders nothing more in this term')
         break
       case 'expired':
         this.log('postponed', scaled, token, 'the lease expired before the order was sent')
         break
       case 'failed':
-        this.calls.noteFailed(scaled.key, order, this.now())
-        this.log('postponed', scaled, token, outcome.why)
-        this.budget.backOff(this.now(), outcome.backOffMs)
+        this.calls.recordFailed(scaled.key, order, this.now())
+        this.log('postponed', scaled, token, outcome.reason)
+        this.budget.backOff(this.now(), outcome.backoffMs)
         break
     }
   }
--- a/control/program/src/scaling-demand.ts
+++ b/control/program/src/scaling-demand.ts
@@ -1,13 +1,13 @@
 /** Computes the demand for the services whose endpoints this process orders, by service and data centre. */
 import { type RoutingDocument, type Scaling } from '@gullwall/config.document'
-import { type HeldLease, type LeaseTable } from '@gullwall/control.registry'
-import { ReadingObserver } from '@gullwall/routing.balancer'
-import { type WorkSummary } from '@gullwall/transport.messages'
+import { type KnownLease, type LeaseTable } from '@gullwall/control.registry'
+import { PrefillObserver } from '@gullwall/routing.balancer'
+import { type LoadSummary } from '@gullwall/transport.messages'
 import { type Demand } from './scaling-policy.ts'
-import { type AllWork } from './work-relay.ts'
+import { type LoadSnapshot } from './load-relay.ts'
 
 /** The demand for a service in a data centre that has endpoints of the service. */
-export interface SeenDemand {
+export interface ObservedDemand {
   service: string
   dataCentre: string
   scaling: Scaling
@@ -17,7 +17,7 @@
 export interface DemandSources {
   document: RoutingDocument
   leases: Pick<LeaseTable, 'all' | 'isUsable'>
-  work: Pick<AllWork, 'works' | 'readings'>
+  load: Pick<LoadSnapshot, 'works' | 'readings'>
   isWhole: boolean
 }
 
@@ -26,10 +26,10 @@
 /** Target wait of a service whose routes have no latency target, in ms. */
 const DEFAULT_TARGET_WAIT_MS = 250
 /** Assumed reading speed if none was observed, in tokens per ms. */
-const DEFAULT_TOKENS_PER_MS = new ReadingObserver().tokensPerMs
+const DEFAULT_TOKENS_PER_MS = new PrefillObserver().tokensPerMs
 
 /** Returns the demand for each service with `scaling` in each data centre where an endpoint of the service is known. */
-export function seeDemand (sources: DemandSources): SeenDemand[] {
+export function observeDemand (sources: DemandSources): ObservedDemand[] {
   const { document, leases } = sources
   const present = leases.all().filter(({ state }) => state !== 'gone')
   const scaled = document.services.flatMap(({ name, scaling }) => scaling === undefined ? [] : [{ name, scaling }])
@@ -44,10 +44,10 @@
 }
 
 /** Computes the demand of one data centre. Load at draining endpoints counts, since later requests go to the other endpoints. */
-function computeDemand (endpointLeases: readonly HeldLease[], { leases, work, isWhole }: DemandSources): Omit<Demand, 'aimedWaitMs'> {
+function computeDemand (endpointLeases: readonly KnownLease[], { leases, load, isWhole }: DemandSources): Omit<Demand, 'aimedWaitMs'> {
   const names = new Set(endpointLeases.map(({ incarnation }) => incarnation))
-  const works = work.works.filter(({ incarnation }) => names.has(incarnation))
-  const readingSpeeds = work.readings.filter(({ incarnation }) => names.has(incarnation)).map(({ tokensPerMs }) => tokensPerMs)
+  const works = load.works.filter(({ incarnation }) => names.has(incarnation))
+  const readingSpeeds = load.readings.filter(({ incarnation }) => names.has(incarnation)).map(({ tokensPerMs }) => tokensPerMs)
   const ready = endpointLeases.filter(({ incarnation }) => leases.isUsable(incarnation))
   return {
     ready: ready.length,
@@ -65,7 +65,7 @@
   return positiveTargets.length === 0 ? DEFAULT_TARGET_WAIT_MS : TARGET_WAIT_SHARE * Math.min(...positiveTargets)
 }
 
-function sumUnreadTokens ({ unread }: WorkSummary): number {
+function sumUnreadTokens ({ unread }: LoadSummary): number {
   return sum(unread.map(({ tokens }) => tokens))
 }
 
--- a/control/program/src/scaling-policy.ts
+++ b/control/program/src/scaling-policy.ts
@@ -65,7 +65,7 @@
     }
     this.latest = demand
     this.completeSince = demand.isWhole ? this.completeSince ?? now : undefined
-    this.history.add({ at: now, load: this.loadOf(demand), aheadMs: scaling.bootMs }, holdMsOf(scaling))
+    this.history.add({ at: now, load: this.loadOf(demand), horizonMs: scaling.bootMs }, computeStabilisationMs(scaling))
   }
 
   /**
@@ -77,14 +77,14 @@
     const newest = history.newest
     if (latest === undefined || newest === undefined || history.spanMs < MIN_OBSERVATION_MS) return undefined
     const current = ordered ?? latest.ready
-    const required = clampToLimits(scaling, Math.ceil(newest.foreseen - ROUNDING_TOLERANCE))
+    const required = clampToLimits(scaling, Math.ceil(newest.forecast - ROUNDING_TOLERANCE))
     if (required > current) return { desired: required, why: this.explain(current, 'up', now) }
-    const stabilisationMs = holdMsOf(scaling)
+    const stabilisationMs = computeStabilisationMs(scaling)
     // The demand may be low only because requests wait for the endpoints that are booting.
     const isBooting = latest.ready < current
     const isWhole = this.completeSince !== undefined && now - this.completeSince >= MIN_OBSERVATION_MS
     if (isBooting || !isWhole || history.spanMs < stabilisationMs) return undefined
-    const maxForecast = history.mostForeseen(stabilisationMs)
+    const maxForecast = history.findMaxForecast(stabilisationMs)
     const lower = clampToLimits(scaling, Math.ceil(maxForecast + Math.max(MIN_SCALE_DOWN_MARGIN, SCALE_DOWN_MARGIN_SHARE * maxForecast)))
     return lower < current ? { desired: lower, why: this.explain(current, `down after ${stabilisationMs} ms of lower demand`, now) } : undefined
   }
@@ -96,16 +96,16 @@
 
   private explain (current: number, direction: string, now: number): string {
     const { ready, slots, running, unreadTokens, tokensPerMs, aimedWaitMs } = this.latest as Demand
-    const { at, load, foreseen } = this.history.newest ?? { at: now, load: 0, foreseen: 0 }
+    const { at, load, forecast } = this.history.newest ?? { at: now, load: 0, forecast: 0 }
     const waitMs = unreadTokens / tokensPerMs / Math.max(1, ready)
     return `${direction} from ${current}: ${running} running on ${slots} slots of ${ready} ready, ${unreadTokens} tokens unread, ` +
-      `wait ${Math.round(waitMs)} ms of ${Math.round(aimedWaitMs)} ms, load ${load.toFixed(2)}, forecast ${foreseen.toFixed(2)}, ` +
+      `wait ${Math.round(waitMs)} ms of ${Math.round(aimedWaitMs)} ms, load ${load.toFixed(2)}, forecast ${forecast.toFixed(2)}, ` +
       `sampled ${Math.round(now - at)} ms ago, observed for ${Math.round(this.history.spanMs)} ms`
   }
 }
 
 /** Returns how long the demand must have been lower before the number is lowered, in ms. */
-export function holdMsOf ({ bootMs }: Pick<Scaling, 'bootMs'>): number {
+export function computeStabilisationMs ({ bootMs }: Pick<Scaling, 'bootMs'>): number {
   return Math.min(MAX_STABILISATION_MS, Math.max(MIN_STABILISATION_MS, STABILISATION_BOOTS * bootMs))
 }
 
--- a/control/program/src/paced-action.ts
+++ b/control/program/src/throttled-action.ts
@@ -1,6 +1,6 @@
 /** Throttles an action: one run serves all requests that arrive within the interval. */
 
-export class PacedAction {
+export class ThrottledAction {
   private timer: NodeJS.Timeout | undefined
   private lastRunAt = -Infinity
 
--- a/control/program/src/usage-reporter.ts
+++ b/control/program/src/usage-reporter.ts
@@ -7,7 +7,7 @@
 import { GullwallError, messageOf } from '@gullwall/core.error'
 import { type Link } from '@gullwall/transport.link'
 import { type MessageOf } from '@gullwall/transport.messages'
-import { DutyLease, type Fence } from './duty-lease.ts'
+import { LeaderLease, type AcquiredLease } from './leader-lease.ts'
 import { type ControlServices } from './index.ts'
 import { UsageStore } from './usage-store.ts'
 
@@ -35,7 +35,7 @@
   private readonly table = new UsageTable()
   private readonly clock = new SteadyWallClock()
   private readonly startedAt = this.clock.now()
-  private readonly lease: DutyLease
+  private readonly lease: LeaderLease
   private readonly store: UsageStore
   /** The entry starts that reported to this process, including those before its own restart. */
   private readonly localSources = new Set<string>()
@@ -47,12 +47,12 @@
   private retryAt = -Infinity
 
   constructor (private readonly services: ControlServices) {
-    this.lease = new DutyLease({
+    this.lease = new LeaderLease({
       leaseMs: services.settings.usage?.leaseMs ?? Infinity,
       leadingTerm: () => services.quorum.role === 'leader' ? services.quorum.status().term : undefined,
-      confirm: async () => await services.quorum.confirmRead()
+      confirmLeadership: async () => await services.quorum.confirmRead()
     })
-    this.store = new UsageStore({ services, take: () => this.takeStoredCounts() })
+    this.store = new UsageStore({ services, takeSnapshot: () => this.takeStoredCounts() })
   }
 
   async start (): Promise<void> {
@@ -74,18 +74,18 @@
   }
 
   /** Receives the counts of an entry. */
-  fromEntry ({ peer }: Link, { windows }: MessageOf<'usage'>): void {
+  receiveFromEntry ({ peer }: Link, { windows }: MessageOf<'usage'>): void {
     const source = `${peer.name}/${peer.startId}`
     this.localSources.add(source)
     this.table.merge(source, windows)
-    if (this.services.settings.usage !== undefined) this.store.changed()
+    if (this.services.settings.usage !== undefined) this.store.requestSave()
   }
 
   /**
    * Returns the counts of a window for the peer that holds the lease.
    * @throws ERR_GULLWALL_NOT_READY until the stored counts are read, because the peer would take partial counts for complete ones
    */
-  partsOf (window: number): MessageOf<'usageParts'> {
+  getUsageParts (window: number): MessageOf<'usageParts'> {
     if (!this.isRestored) {
       throw new GullwallError('ERR_GULLWALL_NOT_READY', 'the stored counts are not read yet', { step: 'tell usage', hint: 'repeat the request' })
     }
@@ -156,27 +156,27 @@
     return { isComplete: parts.length >= otherVoters }
   }
 
-  private async deliver (report: UsageReport, { token, validUntil }: Fence): Promise<void> {
+  private async deliver (report: UsageReport, { token, validUntil }: AcquiredLease): Promise<void> {
     const { settings, usageSink, proposer, logger } = this.services
     const { window, counts } = report
-    const outcome = await usageSink?.deliver({ window, counts, holder: settings.box, token, validUntil }) ?? { type: 'failed', why: 'no sink is configured' }
+    const outcome = await usageSink?.deliver({ window, counts, holder: settings.box, token, validUntil }) ?? { type: 'failed', reason: 'no sink is configured' }
     const record = { channel: 'usage', window, token } as const
     switch (outcome.type) {
       case 'delivered':
         this.backoffMs = FIRST_BACKOFF_MS
         logger.info({ ...record, event: 'reported', why: `${sumRequests(report)} requests of ${counts.length} organisations` })
-        await proposer.usageDelivered({ type: 'usage-delivered', window })
+        await proposer.recordUsageDelivered({ type: 'usage-delivered', window })
         break
       case 'fenced':
-        this.lease.noteRefused(token)
+        this.lease.recordRefusedToken(token)
         logger.warn({ ...record, event: 'fenced', why: 'a higher fencing token was received; this process reports nothing more in this term' })
         break
       case 'expired':
         logger.warn({ ...record, event: 'postponed', why: 'the lease expired before the report was sent' })
         break
       case 'failed':
-        logger.warn({ ...record, event: 'postponed', why: outcome.why })
-        this.backOff(outcome.backOffMs)
+        logger.warn({ ...record, event: 'postponed', why: outcome.reason })
+        this.backOff(outcome.backoffMs)
         break
     }
   }
--- a/control/program/src/usage-sink.ts
+++ b/control/program/src/usage-sink.ts
@@ -16,7 +16,7 @@
   /** Nothing was sent, because `validUntil` had passed. */
   | { type: 'expired' }
   /** It is not known to be accepted. It may be sent again, after the backoff if the external system requested one. */
-  | { type: 'failed', why: string, backOffMs?: number | undefined }
+  | { type: 'failed', reason: string, backoffMs?: number | undefined }
 
 export interface UsageSink {
   deliver (report: FencedReport): Promise<DeliveryOutcome>
--- a/control/program/src/usage-store.ts
+++ b/control/program/src/usage-store.ts
@@ -8,7 +8,7 @@
 import { messageOf } from '@gullwall/core.error'
 import { usageCountSchema } from '@gullwall/transport.messages'
 import { type ControlServices } from './index.ts'
-import { PacedAction } from './paced-action.ts'
+import { ThrottledAction } from './throttled-action.ts'
 
 const FILE = 'usage'
 /** Shortest interval between two writes of the file, in ms. A kill of all processes loses the counts of this interval. */
@@ -23,12 +23,12 @@
 export interface UsageStoreOptions {
   services: Pick<ControlServices, 'disk' | 'logger'>
   /** Returns the counts to store. */
-  take: () => SourceWindow[]
+  takeSnapshot: () => SourceWindow[]
   now?: () => number
 }
 
 export class UsageStore {
-  private readonly saving = new PacedAction(() => this.saveIntervalMs, () => { void this.save() })
+  private readonly saving = new ThrottledAction(() => this.saveIntervalMs, () => { void this.save() })
   private saveIntervalMs = MIN_SAVE_INTERVAL_MS
   private isSaving = false
   private isStopped = false
@@ -48,12 +48,12 @@
       return []
     } finally {
       this.isRead = true
-      if (this.isChanged) this.changed()
+      if (this.isChanged) this.requestSave()
     }
   }
 
   /** Requests a write because counts have changed. */
-  changed (): void {
+  requestSave (): void {
     this.isChanged = true
     if (this.isRead && !this.isStopped) this.saving.request()
   }
@@ -65,7 +65,7 @@
 
   private async save (): Promise<void> {
     if (this.isSaving) {
-      this.changed()
+      this.requestSave()
       return
     }
     this.isSaving = true
@@ -73,16 +73,16 @@
       await writeChecked(this.options.services.disk, FILE, this.buildText())
     } catch (error) {
       this.warn('the counts can\'t be stored', error)
-      this.changed()
+      this.requestSave()
     } finally {
       this.isSaving = false
     }
   }
 
   private buildText (): string {
-    const { take, now = () => performance.now() } = this.options
+    const { takeSnapshot, now = () => performance.now() } = this.options
     const beganAt = now()
-    const text = JSON.stringify(take())
+    const text = JSON.stringify(takeSnapshot())
     this.saveIntervalMs = Math.min(MAX_SAVE_INTERVAL_MS, Math.max(MIN_SAVE_INTERVAL_MS, (now() - beganAt) / SAVE_TIME_SHARE))
     return text
   }
--- a/control/program/test/crash-judge.test.ts
+++ b/control/program/test/crash-evaluator.test.ts
@@ -1,7 +1,7 @@
 import { beforeEach, describe, expect, it } from 'vitest'
 import { ControlState, heldRequestsIn, type Command, type QuarantineResult } from '@gullwall/control.state'
 import { type LogRecord } from '@gullwall/core.logger'
-import { CrashJudge } from '../src/crash-judge.ts'
+import { CrashEvaluator } from '../src/crash-evaluator.ts'
 
 const QUARANTINE_MS = 60_000
 const RETENTION_MS = 20_000
@@ -10,7 +10,7 @@
   let now: number
   let role: 'leader' | 'follower'
   let state: ControlState
-  let judge: CrashJudge
+  let judge: CrashEvaluator
   let logLines: LogRecord[]
   let proposed: Command[]
 
@@ -23,23 +23,23 @@
     judge = judgeOf(state)
   })
 
-  function judgeOf (of: ControlState): CrashJudge {
+  function judgeOf (of: ControlState): CrashEvaluator {
     const quarantine = async (command: Command) => {
       proposed.push(command)
       return JSON.parse(of.apply(0, JSON.stringify(command))) as QuarantineResult
     }
     const logger = { info: (line: LogRecord) => logLines.push(line), warn: (line: LogRecord) => logLines.push(line) }
     const quorum = { get role () { return role } }
-    const services = { state: of, quorum, proposer: { quarantine }, logger }
-    return new CrashJudge(services as never, { crashKeptMs: RETENTION_MS, heldMs: QUARANTINE_MS, now: () => now })
+    const services = { state: of, quorum, proposer: { applyQuarantineCommand: quarantine }, logger }
+    return new CrashEvaluator(services as never, { crashRetentionMs: RETENTION_MS, quarantineMs: QUARANTINE_MS, now: () => now })
   }
 
   async function advance (ms: number, of = judge): Promise<void> {
-    for (const end = now + ms; now < end; now += 50) await of.look()
+    for (const end = now + ms; now < end; now += 50) await of.runDueCommands()
   }
 
   const report = async (endpoint: string, ...requests: string[]) => {
-    await judge.note({ kind: 'crashes', crashes: [{ endpoint, requests }], ranWell: [] })
+    await judge.recordCrashes({ kind: 'crashes', crashes: [{ endpoint, requests }], ranWell: [] })
   }
 
   const quarantined = (of = state) => [...heldRequestsIn(of.records)]
@@ -102,7 +102,7 @@
 
   it('releases a request that completed successfully', async () => {
     await quarantineOne()
-    await judge.note({ kind: 'crashes', crashes: [], ranWell: ['a'] })
+    await judge.recordCrashes({ kind: 'crashes', crashes: [], ranWell: ['a'] })
     expect(quarantined()).toEqual([])
   })
 
--- a/control/program/test/evacuations.test.ts
+++ b/control/program/test/evacuations.test.ts
@@ -13,16 +13,16 @@
 /** Election timeout in ms. It exceeds the pauses of a busy test machine, so that leaders change only when a test kills or isolates them. */
 const ELECTION_MS = 1500
 
-const connected: OrderCaller = { hasLeft: false, leftBefore: async () => false }
-const disconnected: OrderCaller = { hasLeft: true, leftBefore: async () => true }
+const connected: OrderCaller = { isDisconnected: false, wasDisconnectedBefore: async () => false }
+const disconnected: OrderCaller = { isDisconnected: true, wasDisconnectedBefore: async () => true }
 
 /** A caller whose order blocks in its process until the test unblocks it. */
 class BlockedCaller implements OrderCaller {
-  hasLeft = false
+  isDisconnected = false
   unblock!: () => void
   private readonly unblocked = new Promise<void>((resolve) => { this.unblock = resolve })
 
-  async leftBefore (): Promise<boolean> {
+  async wasDisconnectedBefore (): Promise<boolean> {
     await this.unblocked
     return false
   }
@@ -233,7 +233,7 @@
     const accepted = orderOf(waitingCaller)
     await orderUntilAccepted(first, true)
     const { epoch } = await orderUntilAccepted(second, false)
-    leavingCaller.hasLeft = true
+    leavingCaller.isDisconnected = true
     leavingCaller.unblock()
     await expect(late).rejects.toMatchObject({ code: 'ERR_GULLWALL_OVERTAKEN' })
     await untilEverywhere(epoch)
@@ -271,7 +271,7 @@
   await order(control, true)
   const large = JSON.stringify({ match: 'x'.repeat(9 * 1024 * 1024) })
   const changes = [{ key: 'selector/large', value: large }]
-  await control.get('proposer').apply({ type: 'apply', operationId: 'large', expectedRevision: null, changes, operator: 'test', at: '' })
+  await control.get('proposer').applyOperation({ type: 'apply', operationId: 'large', expectedRevision: null, changes, operator: 'test', at: '' })
   await until('a snapshot', () => control.get('quorum').status().snapshotIndex > 0)
   await order(control, false)
   await control.get('evacuations').order({ dataCentre: 'dc3', isEvacuated: true, caller: connected })
@@ -292,6 +292,6 @@
   await expect(orderOf('dc9')).rejects.toMatchObject({ code: 'ERR_GULLWALL_NO_SUCH_DATA_CENTRE', message: expect.stringContaining('dc9') })
   await expect(orderOf('dc2')).resolves.toMatchObject({ isTaken: true })
   const lease = { incarnation: 'i-9', service: 's', address: '127.0.0.1:1', dataCentre: 'dc9', slots: 1, state: 'ready', sequence: 1, ageMs: 0 } as const
-  await control.get('registrar').hear(lease)
+  await control.get('registrar').receiveHeartbeat(lease)
   await expect(orderOf('dc9')).resolves.toMatchObject({ isTaken: true })
 })
--- a/control/program/test/grant-model.ts
+++ b/control/program/test/grant-simulation.ts
@@ -2,28 +2,28 @@
  * A simulation of the grants for one bounded endpoint. It has control processes with elected leaders, boxes that request grants and
  * send requests, messages with any delay or loss, clocks with different rates, and restarts of processes.
  */
-import { GrantPurse } from '../../../entry/gateway/src/grant-purse.ts'
-import { GrantDuty } from '../src/grant-duty.ts'
+import { GrantPool } from '../../../entry/gateway/src/grant-pool.ts'
+import { LeasedGrantLedger } from '../src/leased-grant-ledger.ts'
 import { type GrantBound, type GrantLedger } from '../src/grant-ledger.ts'
 
 const ENDPOINT = 'i-cold'
 
 /** When a box uses a grant: the used shares of the time to dispatch the requests and of the time to connect. */
-export interface Use {
+export interface GrantUse {
   dispatchShare: number
   connectShare: number
 }
 
 /** A step of a scenario. It runs `afterMs` after the previous step, by the clock of the simulation. */
 export type Step = { afterMs: number } & (
-  | { type: 'ask', box: number, control: number, requests: number, thereMs: number, backMs: number, isLost: boolean, use: Use }
+  | { type: 'ask', box: number, control: number, requests: number, thereMs: number, backMs: number, isLost: boolean, use: GrantUse }
   | { type: 'elect', control: number, tellsOld: boolean }
   | { type: 'restartBox', box: number }
   | { type: 'restartControl', control: number }
   | { type: 'observe', control: number }
 )
 
-export interface ModelOptions {
+export interface SimulationOptions {
   bound: GrantBound
   /** Rates of the clocks, first of the control processes and then of the boxes. */
   rates: readonly number[]
@@ -44,7 +44,7 @@
 const CONTROLS = 3
 export const BOXES = 4
 
-export class GrantModel {
+export class GrantSimulation {
   /** Times at which requests were sent to the endpoint. */
   readonly sentAt: number[] = []
   granted = 0
@@ -52,17 +52,17 @@
   private term = 0
   private leader: number | undefined
   private readonly believedTerms: Array<number | undefined> = Array.from({ length: CONTROLS }, () => undefined)
-  private readonly leasedLedgers: GrantDuty[]
-  private readonly grantPools: GrantPurse[]
+  private readonly leasedLedgers: LeasedGrantLedger[]
+  private readonly grantPools: GrantPool[]
   private readonly restartCounts = Array.from({ length: BOXES }, () => 0)
   private events: Event[] = []
 
-  constructor (private readonly options: ModelOptions) {
+  constructor (private readonly options: SimulationOptions) {
     this.leasedLedgers = this.believedTerms.map((_unused, control) => this.createLeasedLedger(control))
-    this.grantPools = this.restartCounts.map(() => new GrantPurse())
+    this.grantPools = this.restartCounts.map(() => new GrantPool())
   }
 
-  async play (steps: readonly Step[]): Promise<void> {
+  async run (steps: readonly Step[]): Promise<void> {
     let at = 0
     for (const step of steps) {
       at += step.afterMs
@@ -77,7 +77,7 @@
   }
 
   /** Returns the largest number of requests that were sent within one window. */
-  get most (): number {
+  get maxSentInWindow (): number {
     const sorted = this.sentAt.toSorted((left, right) => left - right)
     let most = 0
     let first = 0
@@ -92,9 +92,9 @@
     switch (step.type) {
       case 'ask': this.requestGrant(step); break
       case 'elect': this.elect(step); break
-      case 'observe': this.leasedLedgers[step.control]?.observe(); break
+      case 'observe': this.leasedLedgers[step.control]?.observeTerm(); break
       case 'restartBox':
-        this.grantPools[step.box] = new GrantPurse()
+        this.grantPools[step.box] = new GrantPool()
         this.restartCounts[step.box] = (this.restartCounts[step.box] as number) + 1
         break
       case 'restartControl':
@@ -109,7 +109,7 @@
     const requestedAt = this.boxTime(box)
     const start = this.restartCounts[box]
     this.schedule(thereMs, async () => {
-      const ledger = await this.leasedLedgers[control]?.held()
+      const ledger = await this.leasedLedgers[control]?.acquire()
       const request = { incarnation: ENDPOINT, box: String(box), requests, bounds: [this.options.bound] }
       const grant = ledger?.grant(request, this.controlTime(control))
       if (grant === undefined || grant.requests === 0) return
@@ -128,9 +128,9 @@
     })
   }
 
-  private send (box: number, requests: number, { connectShare }: Use): void {
-    for (let count = 0; count < requests && this.grantPools[box]?.take(ENDPOINT, this.boxTime(box)) === true; count += 1) {
-      this.schedule(connectShare * this.options.bound.sentWithinMs / this.boxRate(box), () => { this.sentAt.push(this.time) })
+  private send (box: number, requests: number, { connectShare }: GrantUse): void {
+    for (let count = 0; count < requests && this.grantPools[box]?.tryTake(ENDPOINT, this.boxTime(box)) === true; count += 1) {
+      this.schedule(connectShare * this.options.bound.maxSendDelayMs / this.boxRate(box), () => { this.sentAt.push(this.time) })
     }
   }
 
@@ -142,13 +142,13 @@
     this.believedTerms[control] = this.term
   }
 
-  private createLeasedLedger (control: number): GrantDuty {
+  private createLeasedLedger (control: number): LeasedGrantLedger {
     const { newLedger, leaseMs, neverConfirms } = this.options
-    return new GrantDuty({
-      newLedger,
+    return new LeasedGrantLedger({
+      createLedger: newLedger,
       leaseMs,
       leadingTerm: () => this.believedTerms[control],
-      confirm: async () => { if (this.leader !== control && neverConfirms !== true) throw new Error('another process leads') },
+      confirmLeadership: async () => { if (this.leader !== control && neverConfirms !== true) throw new Error('another process leads') },
       now: () => this.controlTime(control)
     })
   }
--- a/control/program/test/granter.test.ts
+++ b/control/program/test/granter.test.ts
@@ -2,9 +2,9 @@
 import { freeAddresses, until } from '@gullwall/bench.deployment'
 import { createLogger } from '@gullwall/core.logger'
 import { Dialer, type Link } from '@gullwall/transport.link'
-import { type Grant, type GrantWish } from '@gullwall/transport.messages'
-import { coldBound } from '../src/granter.ts'
-import { GRANT_USE_MS, MAX_GRANT } from '../src/grant-ledger.ts'
+import { type Grant, type GrantRequest } from '@gullwall/transport.messages'
+import { computeColdBound } from '../src/granter.ts'
+import { COLD_GRANT_VALID_MS, COLD_MAX_REQUESTS_PER_GRANT } from '../src/grant-ledger.ts'
 import { running, start, stopAll, type Control } from './control-processes.ts'
 
 const RESPONSE_TIMEOUT_MS = 2000
@@ -43,9 +43,9 @@
   return dialer.link as Link
 }
 
-const createGrantRequest = (incarnation: string, service = 'lm'): GrantWish => ({ incarnation, service, requests: MAX_GRANT })
+const createGrantRequest = (incarnation: string, service = 'lm'): GrantRequest => ({ incarnation, service, requests: COLD_MAX_REQUESTS_PER_GRANT })
 
-async function requestGrants (link: Link, wishes: GrantWish[]): Promise<Grant[]> {
+async function requestGrants (link: Link, wishes: GrantRequest[]): Promise<Grant[]> {
   return (await link.request({ kind: 'coldAsk', entry: 'entry', wishes }, 'coldGranted', RESPONSE_TIMEOUT_MS)).grants
 }
 
@@ -65,14 +65,14 @@
 
 describe('coldBound', () => {
   it('multiplies the limit of the service by the allowed overrun, adds the slack, and rounds down to whole requests', () => {
-    expect(coldBound({ perSecond: 11 }, { overrun: 1.5, slack: 5 })).toBe(BOUND)
-    expect(coldBound({ perSecond: 11 })).toBe(11)
-    expect(coldBound({ perSecond: 0.5 })).toBe(0)
+    expect(computeColdBound({ perSecond: 11 }, { overrun: 1.5, slack: 5 })).toBe(BOUND)
+    expect(computeColdBound({ perSecond: 11 })).toBe(11)
+    expect(computeColdBound({ perSecond: 0.5 })).toBe(0)
   })
 })
 
 /** Repeats the request until the leader answers. On a busy machine its lease may expire for a moment, and it grants nothing meanwhile. */
-async function requestGrantsUntilAnswered (link: Link, wishes: GrantWish[]): Promise<Grant[]> {
+async function requestGrantsUntilAnswered (link: Link, wishes: GrantRequest[]): Promise<Grant[]> {
   let grants: Grant[] | undefined
   await until('an answer', async () => {
     grants = await requestGrants(link, wishes).catch(() => undefined)
@@ -93,9 +93,9 @@
       grants = await requestGrantsUntilAnswered(follower, [createGrantRequest('a')])
       return (grants[0]?.requests ?? 0) > 0
     })
-    expect(grants).toEqual([{ incarnation: 'a', requests: MAX_GRANT, withinMs: GRANT_USE_MS }])
+    expect(grants).toEqual([{ incarnation: 'a', requests: COLD_MAX_REQUESTS_PER_GRANT, withinMs: COLD_GRANT_VALID_MS }])
     const all = (await Promise.all(links.map(async (link) => await requestGrantsUntilAnswered(link, [createGrantRequest('a'), createGrantRequest('a')])))).flat()
-    const granted = all.reduce((sum, { requests }) => sum + requests, MAX_GRANT)
+    const granted = all.reduce((sum, { requests }) => sum + requests, COLD_MAX_REQUESTS_PER_GRANT)
     expect(granted).toBe(Math.ceil(BOUND / 2))
     expect(all.filter(({ requests }) => requests === 0).every(({ withinMs }) => withinMs > 0)).toBe(true)
     // A service without a cold limit in the document is granted nothing.
@@ -105,7 +105,7 @@
   it('refuses a forwarded request at a process that does not lead', async () => {
     const { followers } = await startThreeProcesses()
     const granter = (followers[0] as Control).get('granter')
-    const response = granter.answer({ kind: 'coldAsk', entry: 'entry', wishes: [createGrantRequest('a')] }, { isForwarded: true })
+    const response = granter.handleRequest({ kind: 'coldAsk', entry: 'entry', wishes: [createGrantRequest('a')] }, { isForwarded: true })
     await expect(response).rejects.toMatchObject({ code: 'ERR_GULLWALL_NOT_LEADER' })
   }, 20_000)
 
--- a/control/program/test/grants.fuzz.test.ts
+++ b/control/program/test/grants.fuzz.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest'
 import fc from 'fast-check'
-import { GRANT_LEASE_MS } from '../src/grant-duty.ts'
-import { coldGrantBound, GrantLedger, GRANT_USE_MS, limitGrantBound, SPAN_MS, spanOf, WINDOW_MS, type GrantBound } from '../src/grant-ledger.ts'
-import { BOXES, GrantModel, type ModelOptions, type Step, type Use } from './grant-model.ts'
+import { GRANT_LEASE_MS } from '../src/leased-grant-ledger.ts'
+import { createColdGrantBound, GrantLedger, COLD_GRANT_VALID_MS, createLimitGrantBound, COLD_ACCOUNTING_WINDOW_MS, computeAccountingWindowMs, COLD_WINDOW_MS, type GrantBound } from '../src/grant-ledger.ts'
+import { BOXES, GrantSimulation, type SimulationOptions, type Step, type GrantUse } from './grant-simulation.ts'
 
 const SEED = Number(process.env['FUZZ_SEED'] ?? 20_262)
 const RUNS = Number(process.env['FUZZ_RUNS'] ?? 100)
@@ -30,7 +30,7 @@
 )
 /** Extreme shares are frequent, since late sending followed by immediate sending comes closest to the bound. */
 const share = fc.oneof(fc.constant(0), fc.constant(1), fc.constant(1), fc.double({ min: 0, max: 1, noNaN: true }))
-const use: fc.Arbitrary<Use> = fc.record({ dispatchShare: share, connectShare: share })
+const use: fc.Arbitrary<GrantUse> = fc.record({ dispatchShare: share, connectShare: share })
 /** A phase in which all boxes use their grants in the same way. */
 const phase = fc.record({
   use, steps: fc.array(grantRequest, { minLength: 20, maxLength: 80, size: 'max' }), last: fc.option(otherStep, { freq: 3 })
@@ -50,11 +50,11 @@
     let granted = 0
     let most = 0
     await fc.assert(fc.asyncProperty(scenarios, rates, async (steps, clocks) => {
-      const model = new GrantModel({ bound: coldGrantBound(BOUND), rates: clocks })
-      await model.play(steps)
+      const model = new GrantSimulation({ bound: createColdGrantBound(BOUND), rates: clocks })
+      await model.run(steps)
       granted += model.granted
-      most = Math.max(most, model.most)
-      expect(model.most).toBeLessThanOrEqual(BOUND)
+      most = Math.max(most, model.maxSentInWindow)
+      expect(model.maxSentInWindow).toBeLessThanOrEqual(BOUND)
     }), { seed: SEED, numRuns: RUNS })
     console.log(`seed ${SEED}: ${granted} granted, at most ${most} of ${BOUND} sent within a second`)
     // The check is meaningful only if the simulation comes close to the bound.
@@ -63,31 +63,37 @@
 
   it.each([
     ['a leader that does not wait for the grants of the previous leader to expire', {
-      leaseMs: 1, newLedger: (now: number) => new GrantLedger({ opensAt: now, settleMs: 0 })
+      leaseMs: 1, newLedger: (now: number) => new GrantLedger({ startsAt: now, initialDelayMs: 0 })
     }],
     ['a leader that skips the confirmation of its lease', { neverConfirms: true }],
     ['a ledger that counts a grant for one window only', {
-      newLedger: (now: number) => new GrantLedger({ opensAt: now + 2 * SPAN_MS, spanOf: () => WINDOW_MS })
+      newLedger: (now: number) => new GrantLedger({
+        startsAt: now + 2 * COLD_ACCOUNTING_WINDOW_MS,
+        computeAccountingWindowMs: () => COLD_WINDOW_MS
+      })
     }],
     ['a ledger that ignores the validity of grants', {
-      newLedger: (now: number) => new GrantLedger({ opensAt: now + 2 * SPAN_MS, spanOf: () => SPAN_MS - GRANT_USE_MS })
+      newLedger: (now: number) => new GrantLedger({
+        startsAt: now + 2 * COLD_ACCOUNTING_WINDOW_MS,
+        computeAccountingWindowMs: () => COLD_ACCOUNTING_WINDOW_MS - COLD_GRANT_VALID_MS
+      })
     }],
     ['a box that counts the validity of a grant from the response', { countsFromAnswer: true }]
-  ])('exceed the bound with %s', async (_name, fault: Partial<ModelOptions>) => {
+  ])('exceed the bound with %s', async (_name, fault: Partial<SimulationOptions>) => {
     const run = await fc.check(fc.asyncProperty(scenarios, rates, async (steps, clocks) => {
-      const model = new GrantModel({ bound: coldGrantBound(BOUND), rates: clocks, ...fault })
-      await model.play(steps)
-      return model.most <= BOUND
+      const model = new GrantSimulation({ bound: createColdGrantBound(BOUND), rates: clocks, ...fault })
+      await model.run(steps)
+      return model.maxSentInWindow <= BOUND
     }), { seed: SEED, numRuns: Math.max(RUNS, 200), endOnFailure: true })
     expect(run.failed).toBe(true)
   }, LONG_MS)
 })
 
 describe('grants for an endpoint that advertises a limit', () => {
-  const createBound = (perSecond: number) => limitGrantBound(perSecond) as GrantBound
+  const createBound = (perSecond: number) => createLimitGrantBound(perSecond) as GrantBound
   /** Stretches scenarios to the window of a bound, and raises the number of requests to the bound. */
   const stretchScenarios = ({ windowMs, requests: most }: GrantBound) => scenarios.map((steps) => steps.map((step): Step => {
-    const afterMs = step.afterMs * windowMs / WINDOW_MS
+    const afterMs = step.afterMs * windowMs / COLD_WINDOW_MS
     return step.type === 'ask' ? { ...step, afterMs, requests: Math.max(step.requests, most) } : { ...step, afterMs }
   }))
 
@@ -96,11 +102,11 @@
     let granted = 0
     let most = 0
     await fc.assert(fc.asyncProperty(stretchScenarios(bound), rates, async (steps, clocks) => {
-      const model = new GrantModel({ bound, rates: clocks })
-      await model.play(steps)
+      const model = new GrantSimulation({ bound, rates: clocks })
+      await model.run(steps)
       granted += model.granted
-      most = Math.max(most, model.most)
-      expect(model.most).toBeLessThanOrEqual(bound.requests)
+      most = Math.max(most, model.maxSentInWindow)
+      expect(model.maxSentInWindow).toBeLessThanOrEqual(bound.requests)
     }), { seed: SEED, numRuns: RUNS })
     console.log(`seed ${SEED}: ${granted} granted, at most ${most} of ${bound.requests} sent within ${Math.round(bound.windowMs)} ms`)
     // The check is meaningful only if the simulation comes close to the bound.
@@ -108,18 +114,21 @@
   }, LONG_MS)
 
   it.each([
-    ['a leader that does not wait for the grants of the previous leader to expire', { leaseMs: 1, newLedger: (now: number) => new GrantLedger({ opensAt: now - spanOf(createBound(1)), settleMs: 0 }) }],
+    ['a leader that does not wait for the grants of the previous leader to expire', { leaseMs: 1, newLedger: (now: number) => new GrantLedger({ startsAt: now - computeAccountingWindowMs(createBound(1)), initialDelayMs: 0 }) }],
     ['a leader that skips the confirmation of its lease', { neverConfirms: true }],
     ['a ledger that ignores the validity of grants', {
-      newLedger: (now: number) => new GrantLedger({ opensAt: now + GRANT_LEASE_MS + SPAN_MS, spanOf: ({ windowMs }) => windowMs })
+      newLedger: (now: number) => new GrantLedger({
+        startsAt: now + GRANT_LEASE_MS + COLD_ACCOUNTING_WINDOW_MS,
+        computeAccountingWindowMs: ({ windowMs }) => windowMs
+      })
     }],
     ['a box that counts the validity of a grant from the response', { countsFromAnswer: true }]
-  ])('exceed the bound with %s', async (_name, fault: Partial<ModelOptions>) => {
+  ])('exceed the bound with %s', async (_name, fault: Partial<SimulationOptions>) => {
     const bound = createBound(1)
     const run = await fc.check(fc.asyncProperty(stretchScenarios(bound), rates, async (steps, clocks) => {
-      const model = new GrantModel({ bound, rates: clocks, ...fault })
-      await model.play(steps)
-      return model.most <= bound.requests
+      const model = new GrantSimulation({ bound, rates: clocks, ...fault })
+      await model.run(steps)
+      return model.maxSentInWindow <= bound.requests
     }), { seed: SEED, numRuns: Math.max(RUNS, 200), endOnFailure: true })
     expect(run.failed).toBe(true)
   }, LONG_MS)
--- a/control/program/test/duty-lease.fuzz.test.ts
+++ b/control/program/test/leader-lease.fuzz.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import fc from 'fast-check'
-import { DutyLease, type Fence } from '../src/duty-lease.ts'
+import { LeaderLease, type AcquiredLease } from '../src/leader-lease.ts'
 
 const LEASE_MS = 3000
 const SEED = Number(process.env['FUZZ_SEED'] ?? 20_261)
@@ -20,13 +20,13 @@
   private leader = -1
   private readonly believedTerms: Array<number | undefined> = [undefined, undefined, undefined]
   private readonly frozen = new Set<number>()
-  private readonly leases: DutyLease[]
+  private readonly leases: LeaderLease[]
 
   constructor () {
-    this.leases = this.believedTerms.map((_unused, process) => new DutyLease({
+    this.leases = this.believedTerms.map((_unused, process) => new LeaderLease({
       leaseMs: LEASE_MS,
       leadingTerm: () => this.believedTerms[process],
-      confirm: async () => { if (process !== this.leader) throw new Error('another process leads') },
+      confirmLeadership: async () => { if (process !== this.leader) throw new Error('another process leads') },
       now: () => this.now
     }))
   }
@@ -46,8 +46,8 @@
   /** Acquires the lease, waits, and acts if the lease is still valid. */
   async perform (process: number, waitMs: number): Promise<void> {
     if (this.frozen.has(process)) return
-    const lease = this.leases[process] as DutyLease
-    const fence: Fence | undefined = await lease.acquire()
+    const lease = this.leases[process] as LeaderLease
+    const fence: AcquiredLease | undefined = await lease.acquire()
     this.now += waitMs
     if (fence === undefined || this.frozen.has(process) || !lease.isValid(fence)) return
     this.actions.push({ process, token: fence.token, at: this.now })
@@ -90,25 +90,27 @@
 
   it('expires during a suspension, and a suspension does not shorten the wait for the lease', async () => {
     let [now, slept] = [0, 0]
-    const lease = new DutyLease({ leaseMs: LEASE_MS, leadingTerm: () => 4, confirm: async () => {}, now: () => now, slept: () => slept })
+    const lease = new LeaderLease(
+      { leaseMs: LEASE_MS, leadingTerm: () => 4, confirmLeadership: async () => {}, now: () => now, suspendedMs: () => slept }
+    )
     expect(await lease.acquire()).toBeUndefined()
     slept = 5 * LEASE_MS
     expect(await lease.acquire()).toBeUndefined()
     now = LEASE_MS
-    const fence = await lease.acquire() as Fence
+    const fence = await lease.acquire() as AcquiredLease
     expect(lease.isValid(fence)).toBe(true)
     slept += LEASE_MS
     expect(lease.isValid(fence)).toBe(false)
-    expect(lease.isValid(await lease.acquire() as Fence)).toBe(true)
+    expect(lease.isValid(await lease.acquire() as AcquiredLease)).toBe(true)
   })
 
   it('can not be acquired again in a term whose token was refused', async () => {
     let now = 0
-    const lease = new DutyLease({ leaseMs: LEASE_MS, leadingTerm: () => 4, confirm: async () => {}, now: () => now })
+    const lease = new LeaderLease({ leaseMs: LEASE_MS, leadingTerm: () => 4, confirmLeadership: async () => {}, now: () => now })
     expect(await lease.acquire()).toBeUndefined()
     now = LEASE_MS
-    expect(await lease.acquire()).toEqual({ token: 4, validUntil: 1.5 * LEASE_MS, sleptMs: 0 })
-    lease.noteRefused(4)
+    expect(await lease.acquire()).toEqual({ token: 4, validUntil: 1.5 * LEASE_MS, suspendedMsAtAcquire: 0 })
+    lease.recordRefusedToken(4)
     expect(await lease.acquire()).toBeUndefined()
   })
 })
--- a/control/program/test/work-relay.test.ts
+++ b/control/program/test/load-relay.test.ts
@@ -1,8 +1,8 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
 import { type Link } from '@gullwall/transport.link'
 import { type Message, type MessageOf, type Reading } from '@gullwall/transport.messages'
-import { Nearness } from '../src/nearness.ts'
-import { WorkRelay } from '../src/work-relay.ts'
+import { Proximity } from '../src/proximity.ts'
+import { LoadRelay } from '../src/load-relay.ts'
 
 const ENTRIES = 60
 /** Longer than the publishing interval, in ms. */
@@ -30,9 +30,9 @@
 
 const REGIONS = { dc1: 'north', dc2: 'north', dc9: 'south' }
 
-function createRelay (links: readonly FakeLink[]): WorkRelay {
+function createRelay (links: readonly FakeLink[]): LoadRelay {
   const peers = { links: () => links.map(({ asLink }) => asLink) }
-  return new WorkRelay({ peers: peers as never, nearness: new Nearness({ settings: { dataCentre: 'dc1', member: 'c1', regions: REGIONS }, peers }) })
+  return new LoadRelay({ peers: peers as never, proximity: new Proximity({ settings: { dataCentre: 'dc1', member: 'c1', regions: REGIONS }, peers }) })
 }
 
 function createLoad (incarnation: string): MessageOf<'work'> {
@@ -41,7 +41,7 @@
 
 describe('WorkRelay', () => {
   const peer = new FakeLink('control-2', 'control')
-  let relay: WorkRelay
+  let relay: LoadRelay
   let entries: FakeLink[]
 
   beforeEach(() => {
@@ -50,7 +50,7 @@
     relay = createRelay([peer])
     relay.start()
     entries = Array.from({ length: ENTRIES }, (_unused, index) => new FakeLink(`entry-${index}`))
-    for (const entry of entries) relay.fromEntry(entry.asLink, { ...createLoad('i-0'), works: [] })
+    for (const entry of entries) relay.receiveFromEntry(entry.asLink, { ...createLoad('i-0'), works: [] })
     for (const entry of entries) entry.sums.length = 0
   })
 
@@ -60,7 +60,7 @@
   })
 
   it('sends changes of many entries that arrive at about the same time as one message', () => {
-    for (const entry of entries) relay.fromEntry(entry.asLink, createLoad('i-1'))
+    for (const entry of entries) relay.receiveFromEntry(entry.asLink, createLoad('i-1'))
     vi.advanceTimersByTime(AFTER_SPACING_MS)
     for (const entry of entries) {
       expect(entry.sums.map(({ works }) => works)).toEqual([[{ incarnation: 'i-1', unread: [], running: ENTRIES - 1, strain: 0, sensitive: 0, unreachable: 0 }]])
@@ -70,10 +70,10 @@
 
   it('publishes at once after a pause, and later changes after the interval', () => {
     vi.advanceTimersByTime(AFTER_SPACING_MS)
-    relay.fromEntry((entries[0] as FakeLink).asLink, createLoad('i-1'))
+    relay.receiveFromEntry((entries[0] as FakeLink).asLink, createLoad('i-1'))
     vi.advanceTimersByTime(1)
     expect(entries[1]?.sums).toHaveLength(1)
-    relay.fromEntry((entries[2] as FakeLink).asLink, createLoad('i-1'))
+    relay.receiveFromEntry((entries[2] as FakeLink).asLink, createLoad('i-1'))
     vi.advanceTimersByTime(1)
     expect(entries[1]?.sums).toHaveLength(1)
     vi.advanceTimersByTime(AFTER_SPACING_MS)
@@ -81,13 +81,13 @@
   })
 
   it('includes the number of active peers, without silent peers', () => {
-    relay.fromPeer(peer.asLink, { kind: 'workSums', whole: true, peers: 0, works: [], holdings: [] })
-    relay.fromEntry((entries[0] as FakeLink).asLink, createLoad('i-1'))
+    relay.receiveFromPeer(peer.asLink, { kind: 'workSums', whole: true, peers: 0, works: [], holdings: [] })
+    relay.receiveFromEntry((entries[0] as FakeLink).asLink, createLoad('i-1'))
     vi.advanceTimersByTime(AFTER_SPACING_MS)
     expect(entries[1]?.sums.at(-1)?.peers).toBe(1)
     for (let second = 0; second < 4; second += 1) {
       vi.advanceTimersByTime(1000)
-      for (const entry of entries) relay.fromEntry(entry.asLink, { ...createLoad('i-0'), works: [] })
+      for (const entry of entries) relay.receiveFromEntry(entry.asLink, { ...createLoad('i-0'), works: [] })
     }
     expect(entries[1]?.sums.at(-1)?.peers).toBe(0)
     expect(peer.sums.length).toBeGreaterThanOrEqual(4)
@@ -96,11 +96,11 @@
   it('publishes rarely to another region, with all changes in one message', () => {
     const far = new FakeLink('control-9', 'control', 'dc9')
     const relayToBoth = createRelay([peer, far])
-    for (const entry of entries) relayToBoth.fromEntry(entry.asLink, { ...createLoad('i-0'), works: [] })
+    for (const entry of entries) relayToBoth.receiveFromEntry(entry.asLink, { ...createLoad('i-0'), works: [] })
     vi.advanceTimersByTime(1000)
     far.sums.length = 0
     for (let index = 1; index <= 20; index += 1) {
-      relayToBoth.fromEntry((entries[0] as FakeLink).asLink, createLoad(`i-${index}`))
+      relayToBoth.receiveFromEntry((entries[0] as FakeLink).asLink, createLoad(`i-${index}`))
       vi.advanceTimersByTime(50)
     }
     vi.advanceTimersByTime(300)
@@ -115,10 +115,10 @@
   it('publishes after a shorter interval if there are fewer entries', () => {
     const relayToFew = createRelay([])
     const [one, two] = [new FakeLink('one'), new FakeLink('two')]
-    for (const entry of [one, two]) relayToFew.fromEntry(entry.asLink, { ...createLoad('i-0'), works: [] })
+    for (const entry of [one, two]) relayToFew.receiveFromEntry(entry.asLink, { ...createLoad('i-0'), works: [] })
     one.sums.length = 0
     for (let index = 1; index <= 3; index += 1) {
-      relayToFew.fromEntry(two.asLink, createLoad(`i-${index}`))
+      relayToFew.receiveFromEntry(two.asLink, createLoad(`i-${index}`))
       vi.advanceTimersByTime(6)
       expect(one.sums).toHaveLength(index)
     }
@@ -126,7 +126,7 @@
   })
 
   it('sends nothing to an entry if only its own load has changed', () => {
-    relay.fromEntry((entries[0] as FakeLink).asLink, createLoad('i-1'))
+    relay.receiveFromEntry((entries[0] as FakeLink).asLink, createLoad('i-1'))
     vi.advanceTimersByTime(AFTER_SPACING_MS)
     expect(entries[0]?.sums).toEqual([])
     expect(entries[1]?.sums).toHaveLength(1)
@@ -134,7 +134,7 @@
 
   it('publishes the stream pause of an endpoint after a few entries have observed it', () => {
     for (const entry of entries.slice(0, 20)) {
-      relay.fromEntry(entry.asLink, { ...createLoad('i-1'), observations: [{ incarnation: 'i-1', pauses: [320], reads: [] }] })
+      relay.receiveFromEntry(entry.asLink, { ...createLoad('i-1'), observations: [{ incarnation: 'i-1', pauses: [320], reads: [] }] })
     }
     vi.advanceTimersByTime(1000)
     const reading = entries[50]?.readings.at(-1)
@@ -144,10 +144,10 @@
   })
 
   it('removes a silent entry, and continues to publish to the active entries', () => {
-    relay.fromEntry((entries[0] as FakeLink).asLink, createLoad('i-1'))
+    relay.receiveFromEntry((entries[0] as FakeLink).asLink, createLoad('i-1'))
     for (let second = 0; second < 4; second += 1) {
       vi.advanceTimersByTime(1000)
-      for (const entry of entries.slice(1)) relay.fromEntry(entry.asLink, { ...createLoad('i-0'), works: [] })
+      for (const entry of entries.slice(1)) relay.receiveFromEntry(entry.asLink, { ...createLoad('i-0'), works: [] })
     }
     vi.advanceTimersByTime(AFTER_SPACING_MS)
     expect(entries[1]?.sums.flatMap(({ works }) => works).at(-1)).toMatchObject({ incarnation: 'i-1', running: 0 })
--- a/control/program/test/member-table.test.ts
+++ b/control/program/test/member-table.test.ts
@@ -22,33 +22,33 @@
   const reportedGone = (): string[] => changes.flatMap(({ gone }) => gone)
 
   it('reports a sidecar as gone after the reconnect timeout', () => {
-    table.announce(member)
+    table.addLocal(member)
     table.linkClosed(ADDRESS)
     vi.advanceTimersByTime(AFTER_TIMEOUT_MS)
     expect(reportedGone()).toEqual([ADDRESS])
   })
 
   it('does not report a sidecar as gone if it connected to a peer in the meantime', () => {
-    table.announce(member)
+    table.addLocal(member)
     table.linkClosed(ADDRESS)
-    table.learn('c2', present)
+    table.applyPeerChange('c2', present)
     vi.advanceTimersByTime(AFTER_TIMEOUT_MS)
     expect(reportedGone()).toEqual([])
     expect(table.all()).toEqual([member])
   })
 
   it('does not report a sidecar as gone while it is linked here, if a peer reports it as gone', () => {
-    table.learn('c2', present)
-    table.announce(member)
-    table.learn('c2', { ...present, present: [], gone: [ADDRESS] })
+    table.applyPeerChange('c2', present)
+    table.addLocal(member)
+    table.applyPeerChange('c2', { ...present, present: [], gone: [ADDRESS] })
     expect(reportedGone()).toEqual([])
   })
 
   it('notifies local listeners only of sidecars that are linked here', () => {
     const local: MemberChange[] = []
     table.onLocalChange((change) => local.push(change))
-    table.announce(member)
-    table.learn('c2', present)
+    table.addLocal(member)
+    table.applyPeerChange('c2', present)
     table.linkClosed(ADDRESS)
     vi.advanceTimersByTime(AFTER_TIMEOUT_MS)
     expect(local.map(({ present: here, gone }) => [here.length, gone])).toEqual([[1, []], [0, [ADDRESS]]])
--- a/control/program/test/scaling-orderer.test.ts
+++ b/control/program/test/scaling-controller.test.ts
@@ -1,15 +1,15 @@
 import { describe, expect, it } from 'vitest'
 import { type FencedOrder } from '@gullwall/control.program'
-import { LEASE_MS, World } from './scaling-world.ts'
+import { LEASE_MS, ScalingSimulation } from './scaling-simulation.ts'
 
 const HOLD_MS = 60_000
 const LATE_MS = 20_000
 
-const settle = async (simulation: World): Promise<void> => await simulation.run(10_000)
+const settle = async (simulation: ScalingSimulation): Promise<void> => await simulation.run(10_000)
 
 describe('ScalingOrderer', () => {
   it('sends one order per change, decides it before sending, and logs its inputs', async () => {
-    const simulation = new World()
+    const simulation = new ScalingSimulation()
     await settle(simulation)
     expect(simulation.sink.sent).toEqual([])
     simulation.running = 30
@@ -22,7 +22,7 @@
   })
 
   it('continues with the same order and a higher token after a change of leader, without later calls of the previous leader', async () => {
-    const simulation = new World()
+    const simulation = new ScalingSimulation()
     await settle(simulation)
     simulation.running = 30
     simulation.sink.answer = () => 'carried out late'
@@ -38,12 +38,12 @@
     expect(later.every(({ holder, token, at }) => holder === 'b' && token === 2 && at >= changedAt + LEASE_MS)).toBe(true)
     expect(later[0]?.desired).toBe(simulation.sink.sent.filter(({ token }) => token === 1).at(-1)?.desired)
     const desired = simulation.state.scalingOrders.of('lm', 'dc1')?.desired
-    for (const order of simulation.sink.late.filter(({ token }) => token === 1)) expect(simulation.sink.carryOut(order)).toEqual({ type: 'fenced' })
-    expect(simulation.sink.set.get('lm dc1')).toBe(desired)
+    for (const order of simulation.sink.lateCalls.filter(({ token }) => token === 1)) expect(simulation.sink.carryOut(order)).toEqual({ type: 'fenced' })
+    expect(simulation.sink.desiredCounts.get('lm dc1')).toBe(desired)
   })
 
   it('resends a delivered order after a change of leader, since a late call of the previous leader may be pending', async () => {
-    const simulation = new World()
+    const simulation = new ScalingSimulation()
     await settle(simulation)
     simulation.running = 30
     await simulation.run(10_000)
@@ -54,7 +54,7 @@
   })
 
   it('does not lower an order on a new leader that has not observed the demand for the stabilisation time', async () => {
-    const simulation = new World()
+    const simulation = new ScalingSimulation()
     await settle(simulation)
     simulation.running = 60
     await simulation.run(10_000)
@@ -70,7 +70,7 @@
   })
 
   it('sends no more orders in a term whose token was refused', async () => {
-    const simulation = new World()
+    const simulation = new ScalingSimulation()
     await settle(simulation)
     simulation.sink.answer = () => ({ type: 'fenced' })
     simulation.running = 30
@@ -83,9 +83,9 @@
   })
 
   it('resends a failed order unchanged, at growing intervals', async () => {
-    const simulation = new World()
+    const simulation = new ScalingSimulation()
     await settle(simulation)
-    simulation.sink.answer = () => ({ type: 'failed', why: 'answered 503' })
+    simulation.sink.answer = () => ({ type: 'failed', reason: 'answered 503' })
     simulation.running = 13 * 1.5
     await simulation.run(60_000)
     const calls = simulation.sink.sent
@@ -95,21 +95,21 @@
   })
 
   it('resends an order after an older call with the same token may have been executed late', async () => {
-    const simulation = new World()
+    const simulation = new ScalingSimulation()
     await settle(simulation)
     simulation.sink.answer = () => 'carried out late'
     simulation.running = 25
     await simulation.run(2000)
-    const older = simulation.sink.late[0] as FencedOrder
+    const older = simulation.sink.lateCalls[0] as FencedOrder
     simulation.sink.answer = () => ({ type: 'delivered' })
     simulation.running = 70
     await simulation.run(6000)
     const newer = simulation.state.scalingOrders.of('lm', 'dc1')?.desired
     expect(newer).toBeGreaterThan(older.desired)
     simulation.sink.carryOut(older)
-    expect(simulation.sink.set.get('lm dc1')).toBe(older.desired)
+    expect(simulation.sink.desiredCounts.get('lm dc1')).toBe(older.desired)
     await simulation.run(LATE_MS)
-    expect(simulation.sink.set.get('lm dc1')).toBe(newer)
+    expect(simulation.sink.desiredCounts.get('lm dc1')).toBe(newer)
     const same = () => simulation.sink.sent.filter(({ desired }) => desired === newer).length
     const calls = same()
     await simulation.run(60_000)
@@ -117,11 +117,11 @@
   })
 
   it('uses at most half of the allowed call rate', async () => {
-    const simulation = new World(['dc1', 'dc2', 'dc3', 'dc4', 'dc5', 'dc6'], 2)
+    const simulation = new ScalingSimulation(['dc1', 'dc2', 'dc3', 'dc4', 'dc5', 'dc6'], 2)
     await settle(simulation)
     simulation.running = 30
     await simulation.run(30_000)
-    expect(simulation.sink.set.size).toBe(6)
+    expect(simulation.sink.desiredCounts.size).toBe(6)
     const times = simulation.sink.sent.map(({ at }) => at)
     for (const at of times) expect(times.filter((other) => other >= at && other < at + 1000).length).toBeLessThanOrEqual(2)
   })
--- a/control/program/test/scaling-orders.fuzz.test.ts
+++ b/control/program/test/scaling-orders.fuzz.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import fc from 'fast-check'
-import { World } from './scaling-world.ts'
+import { ScalingSimulation } from './scaling-simulation.ts'
 
 const SEED = Number(process.env['FUZZ_SEED'] ?? 53)
 console.log(`orders of endpoints: FUZZ_SEED=${SEED}`)
@@ -22,7 +22,7 @@
 describe('orders of endpoints with changes of leader, lost responses and late calls', () => {
   it('converge to the decided order, and tokens never decrease', async () => {
     await fc.assert(fc.asyncProperty(fc.array(step, { minLength: 5, maxLength: 25 }), async (steps) => {
-      const simulation = new World()
+      const simulation = new ScalingSimulation()
       let term = 1
       await simulation.run(10_000)
       for (const next of steps) {
@@ -36,11 +36,11 @@
             break
           case 'answers':
             simulation.sink.answer = () => ({
-              delivered: { type: 'delivered' } as const, failed: { type: 'failed', why: '503' } as const, late: 'carried out late' as const
+              delivered: { type: 'delivered' } as const, failed: { type: 'failed', reason: '503' } as const, late: 'carried out late' as const
             })[next.how]
             break
           case 'carry out': {
-            const [late] = simulation.sink.late.splice(next.which % Math.max(1, simulation.sink.late.length), 1)
+            const [late] = simulation.sink.lateCalls.splice(next.which % Math.max(1, simulation.sink.lateCalls.length), 1)
             if (late !== undefined && simulation.now - late.at < LATE_MS) simulation.sink.carryOut(late)
           }
         }
@@ -49,9 +49,9 @@
       simulation.sink.answer = () => ({ type: 'delivered' })
       simulation.running = 30
       await simulation.run(2000)
-      for (const late of simulation.sink.late.splice(0)) if (simulation.now - late.at < LATE_MS) simulation.sink.carryOut(late)
+      for (const late of simulation.sink.lateCalls.splice(0)) if (simulation.now - late.at < LATE_MS) simulation.sink.carryOut(late)
       await simulation.run(QUIET_MS)
-      expect(simulation.sink.set.get('lm dc1')).toBe(simulation.state.scalingOrders.of('lm', 'dc1')?.desired)
+      expect(simulation.sink.desiredCounts.get('lm dc1')).toBe(simulation.state.scalingOrders.of('lm', 'dc1')?.desired)
       const tokens = simulation.sink.sent.map(({ token }) => token)
       expect(tokens).toEqual([...tokens].sort((left, right) => left - right))
       for (const { desired } of simulation.sink.sent) expect(desired >= 1 && desired <= 12).toBe(true)
--- a/control/program/test/usage-reporter.test.ts
+++ b/control/program/test/usage-reporter.test.ts
@@ -46,7 +46,7 @@
     const controls = await startFive(sink)
     const window = currentWindow()
     for (const [index, control] of controls.entries()) {
-      control.get('usageReporter').fromEntry({ peer: { name: `entry-${index}`, startId: 's' } } as unknown as Link, {
+      control.get('usageReporter').receiveFromEntry({ peer: { name: `entry-${index}`, startId: 's' } } as unknown as Link, {
         kind: 'usage', windows: [{ window, counts: [{ organisation: 'a', begun: index + 1 }] }]
       })
     }
@@ -56,12 +56,12 @@
 
   it('sends the same report after a change of leader, even if more counts have arrived', async () => {
     const sink = new FakeSink()
-    sink.answer = () => ({ type: 'failed', why: 'no answer' })
+    sink.answer = () => ({ type: 'failed', reason: 'no answer' })
     const controls = await startFive(sink)
     const window = currentWindow()
     const reportUsage = (begun: number) => {
       for (const control of controls) {
-        control.get('usageReporter').fromEntry(entry, { kind: 'usage', windows: [{ window, counts: [{ organisation: 'a', begun }] }] })
+        control.get('usageReporter').receiveFromEntry(entry, { kind: 'usage', windows: [{ window, counts: [{ organisation: 'a', begun }] }] })
       }
     }
     reportUsage(5)
@@ -91,7 +91,7 @@
     await until('a leader', () => leaderOf(controls) !== undefined, 20_000)
     const window = currentWindow()
     for (const [index, control] of controls.entries()) {
-      control.get('usageReporter').fromEntry({ peer: { name: `entry-${index}`, startId: 's' } } as unknown as Link, {
+      control.get('usageReporter').receiveFromEntry({ peer: { name: `entry-${index}`, startId: 's' } } as unknown as Link, {
         kind: 'usage', windows: [{ window, counts: [{ organisation: 'a', begun: index + 1 }] }]
       })
     }
@@ -102,7 +102,7 @@
     await stopAll()
     const again = await startAll(true)
     // An entry that was not restarted sends the same counts again.
-    again[0]?.get('usageReporter').fromEntry({ peer: { name: 'entry-0', startId: 's' } } as unknown as Link, {
+    again[0]?.get('usageReporter').receiveFromEntry({ peer: { name: 'entry-0', startId: 's' } } as unknown as Link, {
       kind: 'usage', windows: [{ window, counts: [{ organisation: 'a', begun: 1 }] }]
     })
     await until('reports', () => sink.of(window).length > 0, 20_000)
@@ -114,7 +114,7 @@
     await writeChecked(disk, 'usage', '{"no":"counts"}')
     const [address = ''] = await freeAddresses(1)
     const control = await start({ address, seeds: [address], disk, usage: USAGE, usageSink: new FakeSink() })
-    expect(control.get('usageReporter').partsOf(currentWindow()).sources).toEqual([])
+    expect(control.get('usageReporter').getUsageParts(currentWindow()).sources).toEqual([])
   })
 
   it('sends nothing more with a token that was refused', async () => {
