--- a/control/program/src/age-tracker.ts
+++ b/control/program/src/age-tracker.ts
@@ -9,7 +9,7 @@
     return [...this.seenAt].filter(([, seenAt]) => now - seenAt > ageMs).map(([key]) => key)
   }
 
-  /** Restarts all ages at the next call of `olderThan`. */
+  /** Restarts all ages at the next call of `findOlderThan`. */
   reset (): void {
     this.seenAt.clear()
   }
--- a/control/program/src/create-scaling-controller.ts
+++ b/control/program/src/create-scaling-controller.ts
@@ -17,7 +17,7 @@
     }),
     orders: state.scalingOrders,
     decide: async (command) => await proposer.decideScaling(command),
-    observeDemand: () => demandSource.see(),
+    observeDemand: () => demandSource.observe(),
     sink: settings.scaling === undefined ? undefined : scalingSink,
     holder: settings.box,
     callsPerSecond: settings.scaling?.callsPerSecond ?? 1,
@@ -31,13 +31,13 @@
 
   constructor (private readonly services: ControlServices) {}
 
-  see (): ObservedDemand[] {
+  observe (): ObservedDemand[] {
     const document = this.scaledDocument()
     if (document === undefined) return []
     const { leases, loadRelay, quorum } = this.services
-    const work = loadRelay.getSnapshot()
+    const load = loadRelay.getSnapshot()
     const otherVoters = Object.keys(quorum.membership.voters).filter((name) => name !== quorum.name).length
-    return observeDemand({ document, leases, load: work, isWhole: work.activePeerCount >= otherVoters })
+    return observeDemand({ document, leases, load, isComplete: load.activePeerCount >= otherVoters })
   }
 
   /** Returns the active document, or undefined if no service in it has `scaling`. Parses it again only after a record has changed. */
--- a/control/program/src/demand-history.ts
+++ b/control/program/src/demand-history.ts
@@ -57,7 +57,7 @@
   add ({ at, load, horizonMs }: NewSample, keptMs: number): void {
     const sample: DemandSample = { at, load, forecast: load }
     this.samples.push(sample)
-    sample.forecast = this.foreseen(horizonMs)
+    sample.forecast = this.computeForecast(horizonMs)
     const since = at - Math.max(keptMs, MAX_TREND_WINDOW_MS)
     const firstKept = this.samples.findIndex(({ at }) => at > since)
     if (firstKept > 1) this.samples = this.samples.slice(firstKept - 1)
@@ -68,11 +68,11 @@
     return this.samplesWithin(withinMs).reduce((most, { forecast }) => Math.max(most, forecast), 0)
   }
 
-  /** Returns the expected load after `aheadMs`. The forecast continues a rise, but not a fall. */
-  private foreseen (aheadMs: number): number {
+  /** Returns the expected load after `horizonMs`. The forecast continues a rise, but not a fall. */
+  private computeForecast (horizonMs: number): number {
     const level = median(this.samplesWithin(LEVEL_WINDOW_MS).map(({ load }) => load))
-    const trendMs = Math.min(MAX_TREND_WINDOW_MS, Math.max(MIN_TREND_WINDOW_MS, aheadMs))
-    return Math.min(MAX_GROWTH_FACTOR * level, level + aheadMs * this.findRisePerMs(trendMs))
+    const trendMs = Math.min(MAX_TREND_WINDOW_MS, Math.max(MIN_TREND_WINDOW_MS, horizonMs))
+    return Math.min(MAX_GROWTH_FACTOR * level, level + horizonMs * this.findRisePerMs(trendMs))
   }
 
   /** Returns the slope of a rise. Returns 0 if the load falls, has only jumped, or rises no more than the scatter explains. */
--- a/control/program/src/grant-ledger.ts
+++ b/control/program/src/grant-ledger.ts
@@ -4,9 +4,9 @@
  * cold, another because it advertises a limit. Each grant is counted once, and the smallest bound applies.
  *
  * A box may use a grant from the time at which it is given until its validity ends. The validity is counted from the time of the
- * request, which is earlier. A request that was dispatched within the validity is sent within `sentWithinMs` after it or not at
- * all. All requests that reach an endpoint within one window therefore come from grants of one span, and the ledger bounds the
- * sum of these grants.
+ * request, which is earlier. A request that was dispatched within the validity is sent within `maxSendDelayMs` after it or not at
+ * all. All requests that reach an endpoint within one window therefore come from grants of one accounting window, and the ledger
+ * limits the sum of these grants.
  */
 import { createRateBound, SendLog, type RateBound } from '@gullwall/routing.rates'
 import { type Grant } from '@gullwall/transport.messages'
@@ -44,7 +44,7 @@
 /** Delay before the first grant under an advertised limit, in ms: the propagation of the limit to all boxes. */
 export const LIMIT_INITIAL_DELAY_MS = 250
 const COLD_PARTS = 2
-/** An endpoint without requests is removed after this time, in ms. The time exceeds every span and the gaps of light traffic. */
+/** An endpoint without requests is removed after this time, in ms. It exceeds every accounting window and the gaps of light traffic. */
 const IDLE_RETENTION_MS = 30_000
 /** An endpoint that reports more cold time than this after its reported end has become cold again, in ms. The time exceeds clock drift. */
 const COLD_AGAIN_MS = 500
@@ -55,7 +55,7 @@
 /** A box that misses its retry time by more than this is removed from the queue, in ms. */
 const QUEUE_TIMEOUT_MS = 1000
 
-/** Returns the bound of a cold endpoint that may get `requests` requests within any window of `WINDOW_MS`. */
+/** Returns the bound of a cold endpoint that may get `requests` requests within any window of `COLD_WINDOW_MS`. */
 export function createColdGrantBound (requests: number): GrantBound {
   return {
     requests,
@@ -84,12 +84,12 @@
   }
 }
 
-/** Returns the span of a bound, in ms. Requests of two grants that are further apart than the span never fall into one window. */
+/** Returns the accounting window of a bound, in ms. Requests of grants that are further apart than this never fall into one window. */
 export function computeAccountingWindowMs ({ windowMs, validMs, maxSendDelayMs }: GrantBound): number {
   return Math.ceil((1 + ENDPOINT_CLOCK_MARGIN) * windowMs + (1 + BOX_CLOCK_MARGIN) * (validMs + maxSendDelayMs))
 }
 
-/** The span of the grants for cold endpoints, in ms. */
+/** The accounting window of the grants for cold endpoints, in ms. */
 export const COLD_ACCOUNTING_WINDOW_MS = computeAccountingWindowMs(createColdGrantBound(0))
 
 /** The grants for one endpoint. */
@@ -121,25 +121,25 @@
 export interface LedgerOptions {
   /**
    * Start of the grants for cold endpoints. Requests of the previous leader's grants may be sent until then. That leader gave its
-   * last grant at least `SPAN_MS` before. Grants under advertised limits start at that time, minus the possible grants of the
-   * previous leader.
+   * last grant at least `COLD_ACCOUNTING_WINDOW_MS` before. Grants under advertised limits start at the time of that last grant,
+   * reduced by the possible grants of the previous leader.
    */
   startsAt: number
   computeAccountingWindowMs?: (bound: GrantBound) => number
-  /** Replaces the `settleMs` of the bounds, in ms. */
+  /** Replaces the `initialDelayMs` of the bounds, in ms. */
   initialDelayMs?: number
 }
 
 export class GrantLedger {
   private readonly accounts = new Map<string, Account>()
-  private readonly opensAt: number
-  private readonly spanOf: (bound: GrantBound) => number
-  private readonly settleMs: number | undefined
-
-  constructor ({ startsAt, computeAccountingWindowMs: span = computeAccountingWindowMs, initialDelayMs }: LedgerOptions) {
-    this.opensAt = startsAt
-    this.spanOf = span
-    this.settleMs = initialDelayMs
+  private readonly startsAt: number
+  private readonly computeWindowMs: (bound: GrantBound) => number
+  private readonly initialDelayMs: number | undefined
+
+  constructor ({ startsAt, computeAccountingWindowMs: computeWindowMs = computeAccountingWindowMs, initialDelayMs }: LedgerOptions) {
+    this.startsAt = startsAt
+    this.computeWindowMs = computeWindowMs
+    this.initialDelayMs = initialDelayMs
   }
 
   /** Grants requests to an endpoint, or returns a grant of 0 requests with the retry delay. */
@@ -147,14 +147,14 @@
     const account = this.findOrCreateAccount(incarnation, now)
     if (updateColdUntil(account, coldStatus)) account.firstRequestAt = now
     account.lastRequestAt = now
-    const spans = bounds.map((bound) => ({ ...bound, windowMs: this.spanOf(bound) }))
-    const longest = Math.max(COLD_ACCOUNTING_WINDOW_MS, ...spans.map(({ windowMs }) => windowMs))
+    const windows = bounds.map((bound) => ({ ...bound, windowMs: this.computeWindowMs(bound) }))
+    const longest = Math.max(COLD_ACCOUNTING_WINDOW_MS, ...windows.map(({ windowMs }) => windowMs))
     account.grants.dropBefore(now - Math.max(longest, IDLE_RETENTION_MS))
-    const opensAt = this.findStart(account, spans)
-    if (now < opensAt) return createRefusal(incarnation, queueRetry(account, box, { bounds, freeMs: opensAt - now, now }))
-    const free = spans.map((span) => Math.min(span.maxRequestsPerGrant, account.grants.remaining(span, now)))
-    const granted = Math.min(requests, ...(free.length === 0 ? [0] : free))
-    if (granted < 1) return createRefusal(incarnation, queueRetry(account, box, { bounds, freeMs: findDelayMs(account, spans, now), now }))
+    const earliestAt = this.findStart(account, windows)
+    if (now < earliestAt) return createRefusal(incarnation, queueRetry(account, box, { bounds, freeMs: earliestAt - now, now }))
+    const available = windows.map((bound) => Math.min(bound.maxRequestsPerGrant, account.grants.remaining(bound, now)))
+    const granted = Math.min(requests, ...(available.length === 0 ? [0] : available))
+    if (granted < 1) return createRefusal(incarnation, queueRetry(account, box, { bounds, freeMs: findWaitMs(account, windows, now), now }))
     account.grants.add(granted, now)
     account.queue.delete(box)
     return { incarnation, requests: granted, withinMs: Math.min(...bounds.map(({ validMs }) => validMs)) }
@@ -173,16 +173,16 @@
   }
 
   /** Returns when the first request may be granted under all bounds. Counts the possible grants of the previous leader under a limit. */
-  private findStart (account: Account, spans: readonly GrantBound[]): number {
-    const previousLeaderEndedAt = this.opensAt - COLD_ACCOUNTING_WINDOW_MS
-    const limit = spans.find(({ isQueued }) => isQueued)
+  private findStart (account: Account, windows: readonly GrantBound[]): number {
+    const previousLeaderEndedAt = this.startsAt - COLD_ACCOUNTING_WINDOW_MS
+    const limit = windows.find(({ isQueued }) => isQueued)
     if (limit !== undefined && !account.isPreviousLeaderCounted) {
       account.isPreviousLeaderCounted = true
       account.grants.assumeFullUse(limit, previousLeaderEndedAt)
     }
-    const isCold = spans.some(({ isQueued }) => !isQueued)
-    const settleMs = this.settleMs ?? Math.max(0, ...spans.map((bound) => bound.initialDelayMs))
-    return Math.max(isCold ? this.opensAt : previousLeaderEndedAt, account.firstRequestAt + settleMs)
+    const isCold = windows.some(({ isQueued }) => !isQueued)
+    const initialDelayMs = this.initialDelayMs ?? Math.max(0, ...windows.map((bound) => bound.initialDelayMs))
+    return Math.max(isCold ? this.startsAt : previousLeaderEndedAt, account.firstRequestAt + initialDelayMs)
   }
 
   private findOrCreateAccount (incarnation: string, now: number): Account {
@@ -217,18 +217,18 @@
 }
 
 /** Returns the time until every exhausted bound allows a request, in ms. */
-function findDelayMs ({ grants }: Account, spans: readonly RateBound[], now: number): number {
-  const exhausted = spans.filter((span) => grants.remaining(span, now) < 1)
-  return Math.max(MIN_RETRY_MS, ...exhausted.map((span) => grants.waitMs(span, now)))
+function findWaitMs ({ grants }: Account, windows: readonly RateBound[], now: number): number {
+  const exhausted = windows.filter((bound) => grants.remaining(bound, now) < 1)
+  return Math.max(MIN_RETRY_MS, ...exhausted.map((bound) => grants.waitMs(bound, now)))
 }
 
 /** Updates the cold period. Returns true if the endpoint was warm in between, so that boxes may still send as to a warm endpoint. */
-function updateColdUntil (account: Account, word: LedgerRequest['coldStatus']): boolean {
-  if (word === undefined || word.coldMs === 0) return false
+function updateColdUntil (account: Account, status: LedgerRequest['coldStatus']): boolean {
+  if (status === undefined || status.coldMs === 0) return false
   const { coldUntil } = account
-  const until = word.receivedAt + word.coldMs
+  const until = status.receivedAt + status.coldMs
   account.coldUntil = Math.max(until, coldUntil ?? -Infinity)
-  return coldUntil !== undefined && word.receivedAt > coldUntil && word.coldMs > COLD_AGAIN_MS
+  return coldUntil !== undefined && status.receivedAt > coldUntil && status.coldMs > COLD_AGAIN_MS
 }
 
 function createRefusal (incarnation: string, waitMs: number): Grant {
--- a/control/program/src/leader-lease.ts
+++ b/control/program/src/leader-lease.ts
@@ -39,11 +39,11 @@
   /** The token that an external system has refused because it received a higher one. */
   private refusedToken: number | undefined
   private readonly now: () => number
-  private readonly slept: () => number
+  private readonly suspendedMs: () => number
 
   constructor (private readonly options: LeaderLeaseOptions) {
     this.now = options.now ?? (() => performance.now())
-    this.slept = options.suspendedMs ?? (() => suspensions.suspendedMs())
+    this.suspendedMs = options.suspendedMs ?? (() => suspensions.suspendedMs())
   }
 
   /** Acquires the lease. Returns undefined while this process may not act. */
@@ -53,8 +53,8 @@
     if (token === undefined || token === this.refusedToken) return undefined
     // The previous leader may have been confirmed until just before this process was elected.
     if (this.now() - this.ledSince < leaseMs) return undefined
-    const askedAt = this.now()
-    const sleptMs = this.slept()
+    const requestedAt = this.now()
+    const suspendedMsAtAcquire = this.suspendedMs()
     try {
       await confirmLeadership()
     } catch {
@@ -62,11 +62,11 @@
       return undefined
     }
     if (this.observeTerm() !== token) return undefined
-    return { token, validUntil: askedAt + ACTING_SHARE * leaseMs, suspendedMsAtAcquire: sleptMs }
+    return { token, validUntil: requestedAt + ACTING_SHARE * leaseMs, suspendedMsAtAcquire }
   }
 
   isValid ({ token, validUntil, suspendedMsAtAcquire }: AcquiredLease): boolean {
-    const now = this.now() + this.slept() - suspendedMsAtAcquire
+    const now = this.now() + this.suspendedMs() - suspendedMsAtAcquire
     return this.observeTerm() === token && token !== this.refusedToken && now < validUntil
   }
 
--- a/control/program/src/leased-grant-ledger.ts
+++ b/control/program/src/leased-grant-ledger.ts
@@ -16,7 +16,7 @@
   createLedger?: (now: number) => GrantLedger
 }
 
-/** Waits out the lease of the previous leader and the span in which its last grants may still be used. */
+/** Waits until the lease of the previous leader has expired and until no request of its last grants can still be sent. */
 function createLedgerAfterTakeover (now: number): GrantLedger {
   return new GrantLedger({ startsAt: now + GRANT_LEASE_MS + COLD_ACCOUNTING_WINDOW_MS })
 }
@@ -26,7 +26,7 @@
   private readonly now: () => number
   private term: number | undefined
   private ledger: GrantLedger | undefined
-  private fence: AcquiredLease | undefined
+  private acquiredLease: AcquiredLease | undefined
   private acquiring: Promise<AcquiredLease | undefined> | undefined
 
   constructor (private readonly options: LeasedGrantLedgerOptions) {
@@ -50,7 +50,7 @@
   async acquire (): Promise<GrantLedger | undefined> {
     if (!this.isLeaseActive()) {
       this.acquiring ??= this.lease.acquire().finally(() => { this.acquiring = undefined })
-      this.fence = await this.acquiring
+      this.acquiredLease = await this.acquiring
     }
     this.observeTerm()
     return this.isLeaseActive() ? this.ledger : undefined
@@ -62,6 +62,6 @@
   }
 
   private isLeaseActive (): boolean {
-    return this.fence !== undefined && this.lease.isValid(this.fence)
+    return this.acquiredLease !== undefined && this.lease.isValid(this.acquiredLease)
   }
 }
--- a/control/program/src/load-relay.ts
+++ b/control/program/src/load-relay.ts
@@ -56,7 +56,7 @@
 
 /** The load of the whole deployment as this process knows it. */
 export interface LoadSnapshot {
-  works: LoadSummary[]
+  loads: LoadSummary[]
   readings: Reading[]
   /** Number of peers that sent a message recently. */
   activePeerCount: number
@@ -93,7 +93,9 @@
 
   /** Returns the load of all entries as this process knows it. */
   getSnapshot (): LoadSnapshot {
-    return { works: this.createSnapshot(() => true).works, readings: this.readings.all(performance.now()), activePeerCount: this.peersHeard }
+    return {
+      loads: this.createSnapshot(() => true).works, readings: this.readings.all(performance.now()), activePeerCount: this.activePeerCount
+    }
   }
 
   /** Receives the load summaries of an entry. */
@@ -215,17 +217,17 @@
   }
 
   private createMessage (works: LoadSummary[], holdings: Holding[] = []): MessageOf<'workSums'> {
-    return { kind: 'workSums', whole: false, peers: this.peersHeard, works, holdings }
+    return { kind: 'workSums', whole: false, peers: this.activePeerCount, works, holdings }
   }
 
-  private get peersHeard (): number {
+  private get activePeerCount (): number {
     const since = performance.now() - PEER_TIMEOUT_MS
     return new Set([...this.peerReceivedAt].filter(([, receivedAt]) => receivedAt > since).map(([link]) => link.peer.name)).size
   }
 
   /** The publishing interval. It assumes that each peer has as many entries as this process. */
   private get intervalMs (): number {
-    return Math.min(MAX_INTERVAL_MS, INTERVAL_PER_ENTRY_MS * this.entries.size * (1 + this.peersHeard))
+    return Math.min(MAX_INTERVAL_MS, INTERVAL_PER_ENTRY_MS * this.entries.size * (1 + this.activePeerCount))
   }
 
   /** Returns the complete sums over the included sources. */
--- a/control/program/src/registrar.ts
+++ b/control/program/src/registrar.ts
@@ -86,9 +86,7 @@
     const { leases } = this.services
     const now = performance.now()
     const changes = limits
-      .filter(
-      (limit) => leases.recordLimit(limit.incarnation, limitFromWire(limit, now))
-    )
+      .filter((limit) => leases.recordLimit(limit.incarnation, limitFromWire(limit, now)))
       .map(({ incarnation }) => incarnation)
     if (changes.length === 0) return
     this.publishToPeers(changes)
--- a/control/program/src/scaling-controller.ts
+++ b/control/program/src/scaling-controller.ts
@@ -48,7 +48,7 @@
 export class ScalingController {
   private readonly scaledServices = new Map<string, ScaledService>()
   private readonly calls = new OrderCallTracker()
-  private readonly budget: CallRateLimiter
+  private readonly rateLimiter: CallRateLimiter
   private readonly now: () => number
   private metrics: OrdererMetrics | undefined
   private timer: NodeJS.Timeout | undefined
@@ -56,7 +56,7 @@
 
   constructor (private readonly options: ScalingControllerOptions) {
     this.now = options.now ?? (() => performance.now())
-    this.budget = new CallRateLimiter(options.callsPerSecond)
+    this.rateLimiter = new CallRateLimiter(options.callsPerSecond)
   }
 
   start (): void {
@@ -112,19 +112,19 @@
   private async processOrders (): Promise<void> {
     for (const scaled of [...this.scaledServices.values()]) {
       if (!this.isDue(scaled)) continue
-      const fence = await this.options.lease.acquire()
-      if (fence === undefined) return
+      const acquiredLease = await this.options.lease.acquire()
+      if (acquiredLease === undefined) return
       try {
         await this.decide(scaled)
       } catch (error) {
-        this.log('postponed', scaled, fence.token, `not decided: ${messageOf(error)}`)
-        this.budget.backOff(this.now())
+        this.log('postponed', scaled, acquiredLease.token, `not decided: ${messageOf(error)}`)
+        this.rateLimiter.backOff(this.now())
         return
       }
       const order = this.findOrder(scaled)
-      if (order === undefined || !this.calls.isCallDue(scaled.key, order, fence.token, this.now())) continue
-      if (!this.budget.canCall(this.now())) return
-      await this.send(scaled, order, fence)
+      if (order === undefined || !this.calls.isCallDue(scaled.key, order, acquiredLease.token, this.now())) continue
+      if (!this.rateLimiter.canCall(this.now())) return
+      await this.send(scaled, order, acquiredLease)
     }
   }
 
@@ -132,7 +132,7 @@
   private isDue (scaled: ScaledService): boolean {
     const token = this.options.lease.observeTerm()
     const order = this.findOrder(scaled)
-    if (token === undefined || !this.budget.isBackoffOver(this.now())) return false
+    if (token === undefined || !this.rateLimiter.isBackoffOver(this.now())) return false
     return this.decideNext(scaled) !== undefined || (order !== undefined && this.calls.isCallDue(scaled.key, order, token, this.now()))
   }
 
@@ -153,25 +153,25 @@
       type: 'decide-scaling', service, dataCentre, desired: next.desired, seen: current?.number ?? 0
     })
     if (!isTaken) return
-    this.metrics?.decisions.inc({ direction: next.desired > (current?.desired ?? demand.ready) ? 'up' : 'down' })
-    this.log('decided', scaled, this.options.lease.observeTerm() ?? 0, next.why)
+    this.metrics?.decisions.inc({ direction: next.desired > (current?.desired ?? demand.readyEndpoints) ? 'up' : 'down' })
+    this.log('decided', scaled, this.options.lease.observeTerm() ?? 0, next.reason)
   }
 
-  private async send (scaled: ScaledService, order: ScalingOrder, fence: AcquiredLease): Promise<void> {
+  private async send (scaled: ScaledService, order: ScalingOrder, acquiredLease: AcquiredLease): Promise<void> {
     const { lease, sink, holder } = this.options
-    if (sink === undefined || !lease.isValid(fence)) return
+    if (sink === undefined || !lease.isValid(acquiredLease)) return
     const { service, dataCentre, desired } = order
-    this.budget.recordCall(this.now())
-    const outcome = await sink.order({ service, dataCentre, desired, holder, ...fence })
+    this.rateLimiter.recordCall(this.now())
+    const outcome = await sink.order({ service, dataCentre, desired, holder, ...acquiredLease })
     this.metrics?.calls.inc({ outcome: outcome.type })
     this.metrics?.desired.set({ service, data_centre: dataCentre }, desired)
-    this.recordOutcome(scaled, order, fence.token, outcome)
+    this.recordOutcome(scaled, order, acquiredLease.token, outcome)
   }
 
   private recordOutcome (scaled: ScaledService, order: ScalingOrder, token: number, outcome: DeliveryOutcome): void {
     switch (outcome.type) {
       case 'delivered':
-        this.budget.recordSuccess()
+        this.rateLimiter.recordSuccess()
         this.calls.recordDelivered(scaled.key, order, token, this.now())
         this.log('ordered', scaled, token, 'accepted')
         break
@@ -185,7 +185,7 @@
       case 'failed':
         this.calls.recordFailed(scaled.key, order, this.now())
         this.log('postponed', scaled, token, outcome.reason)
-        this.budget.backOff(this.now(), outcome.backoffMs)
+        this.rateLimiter.backOff(this.now(), outcome.backoffMs)
         break
     }
   }
--- a/control/program/src/scaling-demand.ts
+++ b/control/program/src/scaling-demand.ts
@@ -17,8 +17,8 @@
 export interface DemandSources {
   document: RoutingDocument
   leases: Pick<LeaseTable, 'all' | 'isUsable'>
-  load: Pick<LoadSnapshot, 'works' | 'readings'>
-  isWhole: boolean
+  load: Pick<LoadSnapshot, 'loads' | 'readings'>
+  isComplete: boolean
 }
 
 /** Share of the shortest latency target that may pass while earlier prompts are read. The request's own prompt and queues take the rest. */
@@ -34,28 +34,28 @@
   const present = leases.all().filter(({ state }) => state !== 'gone')
   const scaled = document.services.flatMap(({ name, scaling }) => scaling === undefined ? [] : [{ name, scaling }])
   return scaled.flatMap(({ name, scaling }) => {
-    const aimedWaitMs = findTargetWaitMs(document, name)
+    const targetWaitMs = findTargetWaitMs(document, name)
     const endpoints = present.filter(({ service }) => service === name)
     return [...new Set(endpoints.map(({ dataCentre }) => dataCentre))].map((dataCentre) => {
       const endpointLeases = endpoints.filter((lease) => lease.dataCentre === dataCentre)
-      return { service: name, dataCentre, scaling, demand: { ...computeDemand(endpointLeases, sources), aimedWaitMs } }
+      return { service: name, dataCentre, scaling, demand: { ...computeDemand(endpointLeases, sources), targetWaitMs } }
     })
   })
 }
 
 /** Computes the demand of one data centre. Load at draining endpoints counts, since later requests go to the other endpoints. */
-function computeDemand (endpointLeases: readonly KnownLease[], { leases, load, isWhole }: DemandSources): Omit<Demand, 'aimedWaitMs'> {
+function computeDemand (endpointLeases: readonly KnownLease[], { leases, load, isComplete }: DemandSources): Omit<Demand, 'targetWaitMs'> {
   const names = new Set(endpointLeases.map(({ incarnation }) => incarnation))
-  const works = load.works.filter(({ incarnation }) => names.has(incarnation))
+  const loads = load.loads.filter(({ incarnation }) => names.has(incarnation))
   const readingSpeeds = load.readings.filter(({ incarnation }) => names.has(incarnation)).map(({ tokensPerMs }) => tokensPerMs)
-  const ready = endpointLeases.filter(({ incarnation }) => leases.isUsable(incarnation))
+  const readyLeases = endpointLeases.filter(({ incarnation }) => leases.isUsable(incarnation))
   return {
-    ready: ready.length,
-    slots: sum(ready.map(({ slots }) => slots)),
-    running: sum(works.map(({ running }) => running)),
-    unreadTokens: sum(works.map(sumUnreadTokens)),
+    readyEndpoints: readyLeases.length,
+    slots: sum(readyLeases.map(({ slots }) => slots)),
+    running: sum(loads.map(({ running }) => running)),
+    unreadTokens: sum(loads.map(sumUnreadTokens)),
     tokensPerMs: readingSpeeds.length === 0 ? DEFAULT_TOKENS_PER_MS : sum(readingSpeeds) / readingSpeeds.length,
-    isWhole
+    isComplete
   }
 }
 
--- a/control/program/src/scaling-policy.ts
+++ b/control/program/src/scaling-policy.ts
@@ -9,7 +9,7 @@
 /** One sample of the demand for a service in a data centre. */
 export interface Demand {
   /** Number of endpoints that accept requests. */
-  ready: number
+  readyEndpoints: number
   /** Total slots of these endpoints. */
   slots: number
   /** Requests in progress. */
@@ -19,15 +19,15 @@
   /** Reading speed of one endpoint. */
   tokensPerMs: number
   /** Target for the wait until earlier prompts are read, in ms. */
-  aimedWaitMs: number
+  targetWaitMs: number
   /** Whether the load of the entries of all control processes is included. Partial data looks like a lower demand. */
-  isWhole: boolean
+  isComplete: boolean
 }
 
 export interface ScalingDecision {
   desired: number
   /** The inputs of the decision, for the log. */
-  why: string
+  reason: string
 }
 
 /**
@@ -58,14 +58,14 @@
 
   /** Adds a sample of the demand. */
   observe (demand: Demand, scaling: Scaling, now: number): void {
-    if (demand.ready > 0) this.slotsPerEndpoint = Math.max(1, demand.slots / demand.ready)
+    if (demand.readyEndpoints > 0) this.slotsPerEndpoint = Math.max(1, demand.slots / demand.readyEndpoints)
     if (this.history.isInterrupted(now)) {
       this.history = new DemandHistory()
       this.completeSince = undefined
     }
     this.latest = demand
-    this.completeSince = demand.isWhole ? this.completeSince ?? now : undefined
-    this.history.add({ at: now, load: this.loadOf(demand), horizonMs: scaling.bootMs }, computeStabilisationMs(scaling))
+    this.completeSince = demand.isComplete ? this.completeSince ?? now : undefined
+    this.history.add({ at: now, load: this.computeLoad(demand), horizonMs: scaling.bootMs }, computeStabilisationMs(scaling))
   }
 
   /**
@@ -76,30 +76,30 @@
     const { latest, history } = this
     const newest = history.newest
     if (latest === undefined || newest === undefined || history.spanMs < MIN_OBSERVATION_MS) return undefined
-    const current = ordered ?? latest.ready
+    const current = ordered ?? latest.readyEndpoints
     const required = clampToLimits(scaling, Math.ceil(newest.forecast - ROUNDING_TOLERANCE))
-    if (required > current) return { desired: required, why: this.explain(current, 'up', now) }
+    if (required > current) return { desired: required, reason: this.explain(current, 'up', now) }
     const stabilisationMs = computeStabilisationMs(scaling)
     // The demand may be low only because requests wait for the endpoints that are booting.
-    const isBooting = latest.ready < current
-    const isWhole = this.completeSince !== undefined && now - this.completeSince >= MIN_OBSERVATION_MS
-    if (isBooting || !isWhole || history.spanMs < stabilisationMs) return undefined
+    const isBooting = latest.readyEndpoints < current
+    const isComplete = this.completeSince !== undefined && now - this.completeSince >= MIN_OBSERVATION_MS
+    if (isBooting || !isComplete || history.spanMs < stabilisationMs) return undefined
     const maxForecast = history.findMaxForecast(stabilisationMs)
     const lower = clampToLimits(scaling, Math.ceil(maxForecast + Math.max(MIN_SCALE_DOWN_MARGIN, SCALE_DOWN_MARGIN_SHARE * maxForecast)))
-    return lower < current ? { desired: lower, why: this.explain(current, `down after ${stabilisationMs} ms of lower demand`, now) } : undefined
+    return lower < current ? { desired: lower, reason: this.explain(current, `down after ${stabilisationMs} ms of lower demand`, now) } : undefined
   }
 
   /** Returns the number of endpoints that the demand keeps at the target utilisation. */
-  private loadOf ({ running, unreadTokens, tokensPerMs, aimedWaitMs }: Demand): number {
-    return Math.max(running / (this.slotsPerEndpoint * TARGET_UTILISATION), unreadTokens / tokensPerMs / aimedWaitMs)
+  private computeLoad ({ running, unreadTokens, tokensPerMs, targetWaitMs }: Demand): number {
+    return Math.max(running / (this.slotsPerEndpoint * TARGET_UTILISATION), unreadTokens / tokensPerMs / targetWaitMs)
   }
 
   private explain (current: number, direction: string, now: number): string {
-    const { ready, slots, running, unreadTokens, tokensPerMs, aimedWaitMs } = this.latest as Demand
+    const { readyEndpoints, slots, running, unreadTokens, tokensPerMs, targetWaitMs } = this.latest as Demand
     const { at, load, forecast } = this.history.newest ?? { at: now, load: 0, forecast: 0 }
-    const waitMs = unreadTokens / tokensPerMs / Math.max(1, ready)
-    return `${direction} from ${current}: ${running} running on ${slots} slots of ${ready} ready, ${unreadTokens} tokens unread, ` +
-      `wait ${Math.round(waitMs)} ms of ${Math.round(aimedWaitMs)} ms, load ${load.toFixed(2)}, forecast ${forecast.toFixed(2)}, ` +
+    const waitMs = unreadTokens / tokensPerMs / Math.max(1, readyEndpoints)
+    return `${direction} from ${current}: ${running} running on ${slots} slots of ${readyEndpoints} ready, ${unreadTokens} tokens unread, ` +
+      `wait ${Math.round(waitMs)} ms of ${Math.round(targetWaitMs)} ms, load ${load.toFixed(2)}, forecast ${forecast.toFixed(2)}, ` +
       `sampled ${Math.round(now - at)} ms ago, observed for ${Math.round(this.history.spanMs)} ms`
   }
 }
--- a/control/program/src/usage-reporter.ts
+++ b/control/program/src/usage-reporter.ts
@@ -116,11 +116,11 @@
   private async reportNext (): Promise<void> {
     const window = this.findDueWindow()
     if (window === undefined) return
-    const fence = await this.lease.acquire()
-    if (fence === undefined) return
+    const acquiredLease = await this.lease.acquire()
+    if (acquiredLease === undefined) return
     const report = this.services.state.usageReports.of(window) ?? await this.decide(window)
-    if (report === undefined || report.isDelivered || !this.lease.isValid(fence)) return
-    await this.deliver(report, fence)
+    if (report === undefined || report.isDelivered || !this.lease.isValid(acquiredLease)) return
+    await this.deliver(report, acquiredLease)
   }
 
   /** Returns the oldest window whose report is neither delivered nor too late, if its last counts have had time to arrive. */
--- a/control/program/test/crash-evaluator.test.ts
+++ b/control/program/test/crash-evaluator.test.ts
@@ -6,11 +6,11 @@
 const QUARANTINE_MS = 60_000
 const RETENTION_MS = 20_000
 
-describe('CrashJudge', () => {
+describe('CrashEvaluator', () => {
   let now: number
   let role: 'leader' | 'follower'
   let state: ControlState
-  let judge: CrashEvaluator
+  let evaluator: CrashEvaluator
   let logLines: LogRecord[]
   let proposed: Command[]
 
@@ -20,10 +20,10 @@
     state = new ControlState()
     logLines = []
     proposed = []
-    judge = judgeOf(state)
+    evaluator = createEvaluator(state)
   })
 
-  function judgeOf (of: ControlState): CrashEvaluator {
+  function createEvaluator (of: ControlState): CrashEvaluator {
     const quarantine = async (command: Command) => {
       proposed.push(command)
       return JSON.parse(of.apply(0, JSON.stringify(command))) as QuarantineResult
@@ -34,12 +34,12 @@
     return new CrashEvaluator(services as never, { crashRetentionMs: RETENTION_MS, quarantineMs: QUARANTINE_MS, now: () => now })
   }
 
-  async function advance (ms: number, of = judge): Promise<void> {
+  async function advance (ms: number, of = evaluator): Promise<void> {
     for (const end = now + ms; now < end; now += 50) await of.runDueCommands()
   }
 
   const report = async (endpoint: string, ...requests: string[]) => {
-    await judge.recordCrashes({ kind: 'crashes', crashes: [{ endpoint, requests }], ranWell: [] })
+    await evaluator.recordCrashes({ kind: 'crashes', crashes: [{ endpoint, requests }], ranWell: [] })
   }
 
   const quarantined = (of = state) => [...heldRequestsIn(of.records)]
@@ -96,13 +96,13 @@
     restarted.restore(state.snapshot())
     expect(quarantined(restarted)).toEqual(['a'])
     expect(restarted.quarantine.evidence.endpoints).toContain('i-7')
-    await advance(500, judgeOf(restarted))
+    await advance(500, createEvaluator(restarted))
     expect(quarantined(restarted)).toEqual(['a'])
   })
 
   it('releases a request that completed successfully', async () => {
     await quarantineOne()
-    await judge.recordCrashes({ kind: 'crashes', crashes: [], ranWell: ['a'] })
+    await evaluator.recordCrashes({ kind: 'crashes', crashes: [], ranWell: ['a'] })
     expect(quarantined()).toEqual([])
   })
 
--- a/control/program/test/grant-simulation.ts
+++ b/control/program/test/grant-simulation.ts
@@ -1,6 +1,6 @@
 /**
  * A simulation of the grants for one bounded endpoint. It has control processes with elected leaders, boxes that request grants and
- * send requests, messages with any delay or loss, clocks with different rates, and restarts of processes.
+ * send requests, messages with any delay or loss, clocks with different clockRates, and restarts of processes.
  */
 import { GrantPool } from '../../../entry/gateway/src/grant-pool.ts'
 import { LeasedGrantLedger } from '../src/leased-grant-ledger.ts'
@@ -10,14 +10,14 @@
 
 /** When a box uses a grant: the used shares of the time to dispatch the requests and of the time to connect. */
 export interface GrantUse {
-  dispatchShare: number
-  connectShare: number
+  dispatchDelayShare: number
+  connectDelayShare: number
 }
 
 /** A step of a scenario. It runs `afterMs` after the previous step, by the clock of the simulation. */
 export type Step = { afterMs: number } & (
-  | { type: 'ask', box: number, control: number, requests: number, thereMs: number, backMs: number, isLost: boolean, use: GrantUse }
-  | { type: 'elect', control: number, tellsOld: boolean }
+  | { type: 'request', box: number, control: number, requests: number, requestDelayMs: number, responseDelayMs: number, isLost: boolean, use: GrantUse }
+  | { type: 'elect', control: number, notifiesOldLeader: boolean }
   | { type: 'restartBox', box: number }
   | { type: 'restartControl', control: number }
   | { type: 'observe', control: number }
@@ -26,14 +26,14 @@
 export interface SimulationOptions {
   bound: GrantBound
   /** Rates of the clocks, first of the control processes and then of the boxes. */
-  rates: readonly number[]
+  clockRates: readonly number[]
   /** Replaces the creation of ledgers. This option and those below inject faults; without them the simulation runs the real code. */
-  newLedger?: (now: number) => GrantLedger
+  createLedger?: (now: number) => GrantLedger
   leaseMs?: number
   /** Makes leaders skip the confirmation by a majority. */
-  neverConfirms?: boolean
+  skipsConfirmation?: boolean
   /** Makes boxes count the validity of a grant from the arrival of the response. */
-  countsFromAnswer?: boolean
+  countsValidityFromResponse?: boolean
 }
 
 interface Event {
@@ -90,7 +90,7 @@
 
   private execute (step: Step): void {
     switch (step.type) {
-      case 'ask': this.requestGrant(step); break
+      case 'request': this.requestGrant(step); break
       case 'elect': this.elect(step); break
       case 'observe': this.leasedLedgers[step.control]?.observeTerm(); break
       case 'restartBox':
@@ -105,50 +105,50 @@
     }
   }
 
-  private requestGrant ({ box, control, requests, thereMs, backMs, isLost, use }: Extract<Step, { type: 'ask' }>): void {
+  private requestGrant ({ box, control, requests, requestDelayMs, responseDelayMs, isLost, use }: Extract<Step, { type: 'request' }>): void {
     const requestedAt = this.boxTime(box)
     const start = this.restartCounts[box]
-    this.schedule(thereMs, async () => {
+    this.schedule(requestDelayMs, async () => {
       const ledger = await this.leasedLedgers[control]?.acquire()
       const request = { incarnation: ENDPOINT, box: String(box), requests, bounds: [this.options.bound] }
       const grant = ledger?.grant(request, this.controlTime(control))
       if (grant === undefined || grant.requests === 0) return
       this.granted += grant.requests
       if (isLost) return
-      this.schedule(backMs, () => {
+      this.schedule(responseDelayMs, () => {
         if (this.restartCounts[box] !== start) return
         const now = this.boxTime(box)
-        const from = this.options.countsFromAnswer === true ? now : requestedAt
+        const from = this.options.countsValidityFromResponse === true ? now : requestedAt
         const until = from + grant.withinMs
         this.grantPools[box]?.add(ENDPOINT, { requests: grant.requests, until }, now)
         // The latest possible dispatch is just before the grant expires.
-        const waitMs = use.dispatchShare * Math.max(0, until - now - 1) / this.boxRate(box)
+        const waitMs = use.dispatchDelayShare * Math.max(0, until - now - 1) / this.boxRate(box)
         this.schedule(waitMs, () => this.send(box, grant.requests, use))
       })
     })
   }
 
-  private send (box: number, requests: number, { connectShare }: GrantUse): void {
+  private send (box: number, requests: number, { connectDelayShare }: GrantUse): void {
     for (let count = 0; count < requests && this.grantPools[box]?.tryTake(ENDPOINT, this.boxTime(box)) === true; count += 1) {
-      this.schedule(connectShare * this.options.bound.maxSendDelayMs / this.boxRate(box), () => { this.sentAt.push(this.time) })
+      this.schedule(connectDelayShare * this.options.bound.maxSendDelayMs / this.boxRate(box), () => { this.sentAt.push(this.time) })
     }
   }
 
   /** Elects another leader. The previous leader may not learn of the election. */
-  private elect ({ control, tellsOld }: Extract<Step, { type: 'elect' }>): void {
-    if (tellsOld && this.leader !== undefined && this.leader !== control) this.believedTerms[this.leader] = undefined
+  private elect ({ control, notifiesOldLeader }: Extract<Step, { type: 'elect' }>): void {
+    if (notifiesOldLeader && this.leader !== undefined && this.leader !== control) this.believedTerms[this.leader] = undefined
     this.term += 1
     this.leader = control
     this.believedTerms[control] = this.term
   }
 
   private createLeasedLedger (control: number): LeasedGrantLedger {
-    const { newLedger, leaseMs, neverConfirms } = this.options
+    const { createLedger, leaseMs, skipsConfirmation } = this.options
     return new LeasedGrantLedger({
-      createLedger: newLedger,
+      createLedger,
       leaseMs,
       leadingTerm: () => this.believedTerms[control],
-      confirmLeadership: async () => { if (this.leader !== control && neverConfirms !== true) throw new Error('another process leads') },
+      confirmLeadership: async () => { if (this.leader !== control && skipsConfirmation !== true) throw new Error('another process leads') },
       now: () => this.controlTime(control)
     })
   }
@@ -158,7 +158,7 @@
   }
 
   private controlTime (control: number): number {
-    return this.time * (this.options.rates[control] as number)
+    return this.time * (this.options.clockRates[control] as number)
   }
 
   private boxTime (box: number): number {
@@ -166,6 +166,6 @@
   }
 
   private boxRate (box: number): number {
-    return this.options.rates[CONTROLS + box] as number
+    return this.options.clockRates[CONTROLS + box] as number
   }
 }
--- a/control/program/test/granter.test.ts
+++ b/control/program/test/granter.test.ts
@@ -63,7 +63,7 @@
   return { leader: controls.find(leads) as Control, followers: controls.filter((control) => !leads(control)) }
 }
 
-describe('coldBound', () => {
+describe('computeColdBound', () => {
   it('multiplies the limit of the service by the allowed overrun, adds the slack, and rounds down to whole requests', () => {
     expect(computeColdBound({ perSecond: 11 }, { overrun: 1.5, slack: 5 })).toBe(BOUND)
     expect(computeColdBound({ perSecond: 11 })).toBe(11)
--- a/control/program/test/leader-lease.fuzz.test.ts
+++ b/control/program/test/leader-lease.fuzz.test.ts
@@ -47,10 +47,10 @@
   async perform (process: number, waitMs: number): Promise<void> {
     if (this.frozen.has(process)) return
     const lease = this.leases[process] as LeaderLease
-    const fence: AcquiredLease | undefined = await lease.acquire()
+    const acquiredLease: AcquiredLease | undefined = await lease.acquire()
     this.now += waitMs
-    if (fence === undefined || this.frozen.has(process) || !lease.isValid(fence)) return
-    this.actions.push({ process, token: fence.token, at: this.now })
+    if (acquiredLease === undefined || this.frozen.has(process) || !lease.isValid(acquiredLease)) return
+    this.actions.push({ process, token: acquiredLease.token, at: this.now })
   }
 }
 
@@ -61,7 +61,7 @@
   fc.record({ type: fc.constant('pass' as const), ms: fc.nat(5000) })
 )
 
-describe('DutyLease', () => {
+describe('LeaderLease', () => {
   it('is never valid in two processes at once, and tokens differ and increase', async () => {
     let actionCount = 0
     await fc.assert(fc.asyncProperty(fc.array(step, { maxLength: 60 }), async (steps) => {
@@ -89,18 +89,18 @@
   })
 
   it('expires during a suspension, and a suspension does not shorten the wait for the lease', async () => {
-    let [now, slept] = [0, 0]
+    let [now, suspended] = [0, 0]
     const lease = new LeaderLease(
-      { leaseMs: LEASE_MS, leadingTerm: () => 4, confirmLeadership: async () => {}, now: () => now, suspendedMs: () => slept }
+      { leaseMs: LEASE_MS, leadingTerm: () => 4, confirmLeadership: async () => {}, now: () => now, suspendedMs: () => suspended }
     )
     expect(await lease.acquire()).toBeUndefined()
-    slept = 5 * LEASE_MS
+    suspended = 5 * LEASE_MS
     expect(await lease.acquire()).toBeUndefined()
     now = LEASE_MS
-    const fence = await lease.acquire() as AcquiredLease
-    expect(lease.isValid(fence)).toBe(true)
-    slept += LEASE_MS
-    expect(lease.isValid(fence)).toBe(false)
+    const acquiredLease = await lease.acquire() as AcquiredLease
+    expect(lease.isValid(acquiredLease)).toBe(true)
+    suspended += LEASE_MS
+    expect(lease.isValid(acquiredLease)).toBe(false)
     expect(lease.isValid(await lease.acquire() as AcquiredLease)).toBe(true)
   })
 
--- a/control/program/test/load-relay.test.ts
+++ b/control/program/test/load-relay.test.ts
@@ -39,7 +39,7 @@
   return { kind: 'work', works: [{ incarnation, unread: [], running: 1, strain: 0, sensitive: 0, unreachable: 0 }], holdings: [], observations: [], listens: true }
 }
 
-describe('WorkRelay', () => {
+describe('LoadRelay', () => {
   const peer = new FakeLink('control-2', 'control')
   let relay: LoadRelay
   let entries: FakeLink[]
--- a/control/program/test/proximity.test.ts
+++ b/control/program/test/proximity.test.ts
@@ -20,7 +20,7 @@
   return Object.fromEntries(CONTROLS.map((control) => [control, createNearness(control).getPublishPriority(linkTo(name, dataCentre))]))
 }
 
-describe('Nearness', () => {
+describe('Proximity', () => {
   it('puts the control process of the data centre first, those of the region second, and those of the other region last', () => {
     expect(turnsFor('e-1', 'n2')).toEqual({ n1: 'second', n2: 'first', n3: 'second', s1: 'last', s2: 'last' })
   })
--- a/control/program/test/scaling-controller.test.ts
+++ b/control/program/test/scaling-controller.test.ts
@@ -2,12 +2,12 @@
 import { type FencedOrder } from '@gullwall/control.program'
 import { LEASE_MS, ScalingSimulation } from './scaling-simulation.ts'
 
-const HOLD_MS = 60_000
+const STABILISATION_MS = 60_000
 const LATE_MS = 20_000
 
 const settle = async (simulation: ScalingSimulation): Promise<void> => await simulation.run(10_000)
 
-describe('ScalingOrderer', () => {
+describe('ScalingController', () => {
   it('sends one order per change, decides it before sending, and logs its inputs', async () => {
     const simulation = new ScalingSimulation()
     await settle(simulation)
@@ -60,10 +60,10 @@
     await simulation.run(10_000)
     const high = simulation.state.scalingOrders.of('lm', 'dc1')?.desired
     simulation.running = 5
-    await simulation.run(HOLD_MS - 5000)
+    await simulation.run(STABILISATION_MS - 5000)
     simulation.restart('b')
     simulation.leader = { name: 'b', term: 2 }
-    await simulation.run(HOLD_MS - 1000)
+    await simulation.run(STABILISATION_MS - 1000)
     expect(simulation.state.scalingOrders.of('lm', 'dc1')?.desired).toBe(high)
     await simulation.run(2000)
     expect(simulation.state.scalingOrders.of('lm', 'dc1')?.desired).toBe(1)
--- a/control/program/test/scaling-demand.test.ts
+++ b/control/program/test/scaling-demand.test.ts
@@ -35,11 +35,11 @@
 const lease = (incarnation: string, service: string, dataCentre: string, state: Lease['state'] = 'ready'): Lease => ({
   incarnation, service, address: `${incarnation}:1`, dataCentre, slots: 8, state, sequence: 1, ageMs: 0
 })
-const work = (incarnation: string, running: number, tokens: number[]): LoadSummary => ({
+const createLoadSummary = (incarnation: string, running: number, tokens: number[]): LoadSummary => ({
   incarnation, running, strain: 0, sensitive: 0, unreachable: 0, unread: tokens.map((count, urgency) => ({ urgency, tokens: count }))
 })
 
-describe('seeDemand', () => {
+describe('observeDemand', () => {
   it('returns the demand by service and data centre, including load at draining endpoints, and omits services without scaling', () => {
     const leases = new LeaseTable({ logger })
     leases.merge([
@@ -50,15 +50,18 @@
       document,
       leases,
       load: {
-        works: [work('a', 3, [100, 50]), work('c', 2, [10]), work('d', 1, []), work('e', 7, [7]), work('p', 9, [])],
+        loads: [
+          createLoadSummary('a', 3, [100, 50]), createLoadSummary('c', 2, [10]), createLoadSummary('d', 1, []),
+          createLoadSummary('e', 7, [7]), createLoadSummary('p', 9, [])
+        ],
         readings: [{ incarnation: 'a', tokensPerMs: 20, pauseMs: 5 }, { incarnation: 'b', tokensPerMs: 40, pauseMs: 5 }]
       },
-      isWhole: true
+      isComplete: true
     })
-    const aimedWaitMs = 200
+    const targetWaitMs = 200
     expect(results).toEqual([
-      { service: 'lm', dataCentre: 'dc1', scaling, demand: { ready: 2, slots: 16, running: 5, unreadTokens: 160, tokensPerMs: 30, aimedWaitMs, isWhole: true } },
-      { service: 'lm', dataCentre: 'dc2', scaling, demand: expect.objectContaining({ ready: 1, slots: 8, running: 1, unreadTokens: 0, aimedWaitMs }) }
+      { service: 'lm', dataCentre: 'dc1', scaling, demand: { readyEndpoints: 2, slots: 16, running: 5, unreadTokens: 160, tokensPerMs: 30, targetWaitMs, isComplete: true } },
+      { service: 'lm', dataCentre: 'dc2', scaling, demand: expect.objectContaining({ readyEndpoints: 1, slots: 8, running: 1, unreadTokens: 0, targetWaitMs }) }
     ])
     expect(results[1]?.demand.tokensPerMs).toBeGreaterThan(0)
   })
--- a/control/program/test/scaling-policy.test.ts
+++ b/control/program/test/scaling-policy.test.ts
@@ -5,7 +5,7 @@
 const SAMPLE_INTERVAL_MS = 500
 const SLOTS = 10
 const SCALING: Scaling = { min: 1, max: 12, bootMs: 10_000 }
-const HOLD_MS = computeStabilisationMs(SCALING)
+const STABILISATION_MS = computeStabilisationMs(SCALING)
 const SEED = Number(process.env['SEED'] ?? 11)
 console.log(`scaling policy: SEED=${SEED}`)
 
@@ -36,7 +36,13 @@
   for (let at = 0; at <= forMs; at += SAMPLE_INTERVAL_MS) {
     while (boots[0] !== undefined && boots[0].at <= at) ready = boots.shift()?.desired ?? ready
     const demand = change({
-      ready, slots: SLOTS * ready, running: running(at), unreadTokens: 0, tokensPerMs: 30, aimedWaitMs: 250, isWhole: true
+      readyEndpoints: ready,
+      slots: SLOTS * ready,
+      running: running(at),
+      unreadTokens: 0,
+      tokensPerMs: 30,
+      targetWaitMs: 250,
+      isComplete: true
     }, at)
     if (demand === undefined) continue
     policy.observe(demand, scaling, at)
@@ -59,11 +65,11 @@
   }
 }
 
-const withReadyEndpoints = (demand: Demand, count: number): Demand => ({ ...demand, ready: count, slots: SLOTS * count })
+const withReadyEndpoints = (demand: Demand, count: number): Demand => ({ ...demand, readyEndpoints: count, slots: SLOTS * count })
 
 describe('ScalingPolicy', () => {
   it('orders nothing while the endpoints match the demand', () => {
-    expect(runPolicy({ running: () => 12, forMs: 10 * HOLD_MS })).toEqual([])
+    expect(runPolicy({ running: () => 12, forMs: 10 * STABILISATION_MS })).toEqual([])
   })
 
   it('scales up at once at a burst, and down only after the stabilisation time', () => {
@@ -76,7 +82,7 @@
     expect(firstUp?.desired).toBe(10)
     expect(Math.max(...orders.map(({ desired }) => desired))).toBe(10)
     const firstDown = orders.find(({ desired }, index) => index > 0 && desired < (orders[index - 1]?.desired ?? 0))
-    expect(firstDown?.at).toBeGreaterThanOrEqual(to + HOLD_MS - SAMPLE_INTERVAL_MS)
+    expect(firstDown?.at).toBeGreaterThanOrEqual(to + STABILISATION_MS - SAMPLE_INTERVAL_MS)
     expect(orders.at(-1)?.desired).toBe(2)
     // No order repeats the previous one.
     for (const [index, { desired }] of orders.entries()) expect(desired).not.toBe(orders[index - 1]?.desired)
@@ -127,22 +133,27 @@
 
   it('does not scale down while ordered endpoints boot', () => {
     const orders = runPolicy({
-      running: () => 1, forMs: 10 * HOLD_MS, ordered: 6, change: (demand, at) => withReadyEndpoints(demand, at < 5 * HOLD_MS ? 5 : 6)
+      running: () => 1,
+      forMs: 10 * STABILISATION_MS,
+      ordered: 6,
+      change: (demand, at) => withReadyEndpoints(demand, at < 5 * STABILISATION_MS ? 5 : 6)
     })
-    expect(orders).toEqual([{ at: 5 * HOLD_MS, desired: 1 }])
+    expect(orders).toEqual([{ at: 5 * STABILISATION_MS, desired: 1 }])
   })
 
   it('does not scale down on partial data, or within the stabilisation time after a gap between samples', () => {
-    const partly = runPolicy({ running: () => 1, forMs: 10 * HOLD_MS, ordered: 2, change: (demand) => ({ ...demand, isWhole: false }) })
+    const partly = runPolicy({
+      running: () => 1, forMs: 10 * STABILISATION_MS, ordered: 2, change: (demand) => ({ ...demand, isComplete: false })
+    })
     expect(partly).toEqual([])
-    const frozen = [HOLD_MS - 8000, HOLD_MS]
+    const frozen = [STABILISATION_MS - 8000, STABILISATION_MS]
     const thawed = runPolicy({
       running: () => 1,
-      forMs: 3 * HOLD_MS,
+      forMs: 3 * STABILISATION_MS,
       ordered: 2,
       change: (demand, at) => at > (frozen[0] ?? 0) && at < (frozen[1] ?? 0) ? undefined : demand
     })
-    expect(thawed).toEqual([{ at: 2 * HOLD_MS, desired: 1 }])
+    expect(thawed).toEqual([{ at: 2 * STABILISATION_MS, desired: 1 }])
   })
 
   it('decides nothing before all endpoints can be known', () => {
--- a/control/program/test/scaling-simulation.ts
+++ b/control/program/test/scaling-simulation.ts
@@ -49,24 +49,24 @@
   readonly sink = new FakeSink(() => this.now)
   readonly lines: string[] = []
   readonly state = new ControlState()
-  private readonly orderers = new Map<string, ScalingController>()
+  private readonly controllers = new Map<string, ScalingController>()
 
   constructor (private readonly dataCentres: string[] = ['dc1'], private readonly callsPerSecond = 4) {
-    for (const name of ['a', 'b']) this.orderers.set(name, this.createOrderer(name))
+    for (const name of ['a', 'b']) this.controllers.set(name, this.createController(name))
   }
 
   /** Restarts a process. */
   restart (name: string): void {
-    this.orderers.set(name, this.createOrderer(name))
+    this.controllers.set(name, this.createController(name))
   }
 
   async run (forMs: number): Promise<void> {
     for (const end = this.now + forMs; this.now < end; this.now += EVALUATION_INTERVAL_MS) {
-      for (const orderer of this.orderers.values()) await orderer.runOnce()
+      for (const controller of this.controllers.values()) await controller.runOnce()
     }
   }
 
-  private createOrderer (name: string): ScalingController {
+  private createController (name: string): ScalingController {
     const now = () => this.now
     return new ScalingController({
       lease: new LeaderLease({
@@ -82,13 +82,13 @@
         dataCentre,
         scaling: SCALING,
         demand: {
-          ready: this.state.scalingOrders.of('lm', dataCentre)?.desired ?? 2,
+          readyEndpoints: this.state.scalingOrders.of('lm', dataCentre)?.desired ?? 2,
           slots: 10 * (this.state.scalingOrders.of('lm', dataCentre)?.desired ?? 2),
           running: this.running,
           unreadTokens: 0,
           tokensPerMs: 30,
-          aimedWaitMs: 250,
-          isWhole: true
+          targetWaitMs: 250,
+          isComplete: true
         }
       })),
       sink: this.sink,
