--- a/control/program/src/granter.ts
+++ b/control/program/src/granter.ts
@@ -12,7 +12,7 @@
 import { type ControlServices } from './index.ts'
 
 /** Interval at which the process checks whether it leads, in ms. */
-const OBSERVE_MS = 200
+const OBSERVE_INTERVAL_MS = 200
 
 interface GranterMetrics {
   requests: Counter
@@ -44,7 +44,7 @@
   }
 
   start (): void {
-    this.timer = setInterval(() => this.leasedLedger.observeTerm(), OBSERVE_MS)
+    this.timer = setInterval(() => this.leasedLedger.observeTerm(), OBSERVE_INTERVAL_MS)
   }
 
   stop (): void {
--- a/control/program/src/order-call-tracker.ts
+++ b/control/program/src/order-call-tracker.ts
@@ -8,8 +8,10 @@
 /** A call without a response is executed within this time or not at all, in ms. The time includes a margin over a few seconds. */
 const MAX_CALL_DELAY_MS = 20_000
 
+/** A call without a response. */
 interface UncertainCall {
   desired: number
+  /** Time after which the call can no longer be executed. */
   until: number
 }
 
--- a/control/program/src/throttled-action.ts
+++ b/control/program/src/throttled-action.ts
@@ -5,14 +5,14 @@
   private lastRunAt = -Infinity
 
   /**
-   * @param spacingMs the shortest interval between two runs, in ms; the first run after a pause starts in the next event loop turn
+   * @param intervalMs the shortest interval between two runs, in ms; the first run after a pause starts in the next event loop turn
    */
-  constructor (private readonly spacingMs: () => number, private readonly run: () => void) {}
+  constructor (private readonly intervalMs: () => number, private readonly run: () => void) {}
 
   /** Schedules a run. The run also serves all requests that arrive before it starts. */
   request (): void {
     if (this.timer !== undefined) return
-    const waitMs = Math.max(0, this.lastRunAt + this.spacingMs() - performance.now())
+    const waitMs = Math.max(0, this.lastRunAt + this.intervalMs() - performance.now())
     this.timer = setTimeout(() => this.runNow(), waitMs)
   }
 
--- a/control/program/test/crash-evaluator.test.ts
+++ b/control/program/test/crash-evaluator.test.ts
@@ -24,13 +24,13 @@
   })
 
   function createEvaluator (of: ControlState): CrashEvaluator {
-    const quarantine = async (command: Command) => {
+    const applyQuarantineCommand = async (command: Command) => {
       proposed.push(command)
       return JSON.parse(of.apply(0, JSON.stringify(command))) as QuarantineResult
     }
     const logger = { info: (line: LogRecord) => logLines.push(line), warn: (line: LogRecord) => logLines.push(line) }
     const quorum = { get role () { return role } }
-    const services = { state: of, quorum, proposer: { applyQuarantineCommand: quarantine }, logger }
+    const services = { state: of, quorum, proposer: { applyQuarantineCommand }, logger }
     return new CrashEvaluator(services as never, { crashRetentionMs: RETENTION_MS, quarantineMs: QUARANTINE_MS, now: () => now })
   }
 
--- a/control/program/test/grant-ledger.test.ts
+++ b/control/program/test/grant-ledger.test.ts
@@ -18,7 +18,7 @@
     expect(createOpenLedger().grant(request(100), 0).requests).toBe(COLD_MAX_REQUESTS_PER_GRANT)
   })
 
-  it('grants the bound within its span, half of it in each half, and returns the retry delay', () => {
+  it('grants the bound within its accounting window, half of it in each half, and returns the retry delay', () => {
     const ledger = createOpenLedger()
     const granted: Array<{ now: number, requests: number }> = []
     for (let now = 0; now < COLD_ACCOUNTING_WINDOW_MS; now += 50) granted.push({ now, requests: ledger.grant(request(), now).requests })
@@ -53,7 +53,7 @@
 
   it('applies the initial delay again to an endpoint that became cold again', () => {
     const ledger = new GrantLedger({ startsAt: 0 })
-    const reportedCold = (heardAt: number, coldMs: number) => ({ ...request(), coldStatus: { receivedAt: heardAt, coldMs } })
+    const reportedCold = (receivedAt: number, coldMs: number) => ({ ...request(), coldStatus: { receivedAt, coldMs } })
     ledger.grant(reportedCold(0, 3000), 0)
     expect(ledger.grant(reportedCold(1000, 2010), COLD_INITIAL_DELAY_MS).requests).toBe(COLD_MAX_REQUESTS_PER_GRANT)
     // The last status of the same cold period arrives a little after its end because of clock drift.
--- a/control/program/test/grant-simulation.ts
+++ b/control/program/test/grant-simulation.ts
@@ -1,6 +1,6 @@
 /**
  * A simulation of the grants for one bounded endpoint. It has control processes with elected leaders, boxes that request grants and
- * send requests, messages with any delay or loss, clocks with different clockRates, and restarts of processes.
+ * send requests, messages with any delay or loss, clocks with different rates, and restarts of processes.
  */
 import { GrantPool } from '../../../entry/gateway/src/grant-pool.ts'
 import { LeasedGrantLedger } from '../src/leased-grant-ledger.ts'
