--- a/control/program/src/create-scaling-controller.ts
+++ b/control/program/src/create-scaling-controller.ts
@@ -1,14 +1,14 @@
-/** Puts the orderer of endpoints together from the services of a control process. */
+/** Creates the scaling controller from the services of a control process. */
 import { type RoutingDocument } from '@gullwall/config.document'
 import { type ControlServices } from './index.ts'
 import { LeaderLease } from './leader-lease.ts'
 import { observeDemand, type ObservedDemand } from './scaling-demand.ts'
 import { ScalingController } from './scaling-controller.ts'
 
-/** Makes the orderer; it does nothing where no settings or no sink are given, or no service has a `scaling`. */
+/** Creates the controller. It is inactive if the settings or the sink are missing, or if no service has `scaling`. */
 export function createScalingController (services: ControlServices): ScalingController {
   const { settings, quorum, scalingSink, state, proposer, logger } = services
-  const watch = new DemandWatch(services)
+  const demandSource = new DemandSource(services)
   return new ScalingController({
     lease: new LeaderLease({
       leaseMs: settings.scaling?.leaseMs ?? Infinity,
@@ -17,7 +17,7 @@
     }),
     orders: state.scalingOrders,
     decide: async (command) => await proposer.decideScaling(command),
-    observeDemand: () => watch.see(),
+    observeDemand: () => demandSource.observe(),
     sink: settings.scaling === undefined ? undefined : scalingSink,
     holder: settings.box,
     callsPerSecond: settings.scaling?.callsPerSecond ?? 1,
@@ -25,22 +25,22 @@
   })
 }
 
-class DemandWatch {
+class DemandSource {
   private revision: number | undefined
   private document: RoutingDocument | undefined
 
   constructor (private readonly services: ControlServices) {}
 
-  see (): ObservedDemand[] {
+  observe (): ObservedDemand[] {
     const document = this.scaledDocument()
     if (document === undefined) return []
     const { leases, loadRelay, quorum } = this.services
-    const work = loadRelay.getSnapshot()
-    const others = Object.keys(quorum.membership.voters).filter((name) => name !== quorum.name).length
-    return observeDemand({ document, leases, load: work, isWhole: work.activePeerCount >= others })
+    const load = loadRelay.getSnapshot()
+    const otherVoters = Object.keys(quorum.membership.voters).filter((name) => name !== quorum.name).length
+    return observeDemand({ document, leases, load, isComplete: load.activePeerCount >= otherVoters })
   }
 
-  /** The document in force, read again only once a record has changed; none where no service in it has a `scaling`. */
+  /** Returns the active document, or undefined if no service in it has `scaling`. Parses it again only after a record has changed. */
   private scaledDocument (): RoutingDocument | undefined {
     const { state, format } = this.services
     if (this.revision === state.revision) return this.document
--- a/control/program/src/leased-grant-ledger.ts
+++ b/control/program/src/leased-grant-ledger.ts
@@ -1,23 +1,23 @@
-/** When this process may grant requests to cold endpoints, and the ledger that it then keeps: one for each term in which it leads. */
+/** Decides when this process may grant requests to endpoints, and keeps one grant ledger for each term in which the process leads. */
 import { GrantLedger, COLD_ACCOUNTING_WINDOW_MS } from './grant-ledger.ts'
 import { LeaderLease, type AcquiredLease } from './leader-lease.ts'
 
-/** The lease under which the leader grants, in ms. A majority confirms it each half of it at most. */
+/** Length of the lease under which the leader grants, in ms. The leader asks a majority to confirm it at least every half of this time. */
 export const GRANT_LEASE_MS = 1000
 
 export interface LeasedGrantLedgerOptions {
   /** The term in which this process leads; undefined while it does not. */
   leadingTerm: () => number | undefined
-  /** Resolves once a majority has answered that this process still leads, to questions asked after the call. */
+  /** Asks a majority whether this process still leads. Resolves once the majority has confirmed it after the call. */
   confirmLeadership: () => Promise<unknown>
   now?: () => number
   leaseMs?: number
-  /** Makes the ledger of a term that begins now. */
+  /** Creates the ledger of a term that begins now. */
   createLedger?: (now: number) => GrantLedger
 }
 
-/** Whoever led before may have granted until its lease ran out, and what it granted is used for a span. */
-function afterTakeOver (now: number): GrantLedger {
+/** Waits until the lease of the previous leader has expired and until no request of its last grants can still be sent. */
+function createLedgerAfterTakeover (now: number): GrantLedger {
   return new GrantLedger({ startsAt: now + GRANT_LEASE_MS + COLD_ACCOUNTING_WINDOW_MS })
 }
 
@@ -26,7 +26,7 @@
   private readonly now: () => number
   private term: number | undefined
   private ledger: GrantLedger | undefined
-  private fence: AcquiredLease | undefined
+  private acquiredLease: AcquiredLease | undefined
   private acquiring: Promise<AcquiredLease | undefined> | undefined
 
   constructor (private readonly options: LeasedGrantLedgerOptions) {
@@ -35,33 +35,33 @@
     this.lease = new LeaderLease({ leaseMs, leadingTerm, confirmLeadership, now: this.now })
   }
 
-  /** Sees whether this process leads; the sooner it sees that, the sooner it may grant. */
+  /** Updates the term and removes idle endpoints. Frequent calls detect the start of a term with less delay. */
   observeTerm (): void {
     const term = this.lease.observeTerm()
     const now = this.now()
     if (term !== this.term) {
       this.term = term
-      this.ledger = term === undefined ? undefined : (this.options.createLedger ?? afterTakeOver)(now)
+      this.ledger = term === undefined ? undefined : (this.options.createLedger ?? createLedgerAfterTakeover)(now)
     }
     this.ledger?.sweep(now)
   }
 
-  /** Gives the ledger, to be used in the same turn of the event loop; undefined while this process may not grant. */
+  /** Returns the ledger, for use in the same turn of the event loop. Returns undefined while this process may not grant. */
   async acquire (): Promise<GrantLedger | undefined> {
-    if (!this.isHeld()) {
+    if (!this.isLeaseActive()) {
       this.acquiring ??= this.lease.acquire().finally(() => { this.acquiring = undefined })
-      this.fence = await this.acquiring
+      this.acquiredLease = await this.acquiring
     }
     this.observeTerm()
-    return this.isHeld() ? this.ledger : undefined
+    return this.isLeaseActive() ? this.ledger : undefined
   }
 
-  /** For how many endpoints grants are counted here. */
+  /** Number of endpoints whose grants this process counts. */
   get endpointCount (): number {
     return this.ledger?.endpointCount ?? 0
   }
 
-  private isHeld (): boolean {
-    return this.fence !== undefined && this.lease.isValid(this.fence)
+  private isLeaseActive (): boolean {
+    return this.acquiredLease !== undefined && this.lease.isValid(this.acquiredLease)
   }
 }
