--- a/entry/gateway/src/cold-engines.ts
+++ b/entry/gateway/src/cold-engines.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps requests from cold endpoints but for those that control has granted, and asks control for grants where this box has
- * requests that a cold endpoint could have. A box without a grant sends nothing there, also one that is cut off.
+ * Limits the requests that cold endpoints receive to those that control has granted, and requests grants from control while
+ * this box has requests that a cold endpoint could serve. A box without a grant sends nothing to cold endpoints, even if it is
+ * disconnected from control.
  */
 import { type ColdLimit } from '@gullwall/config.document'
 import { type HeldLease } from '@gullwall/control.registry'
@@ -13,37 +14,37 @@
 import { type EndpointRule } from './eligibility.ts'
 import { RAMP_MS, rampShare, Warmth } from './warmth.ts'
 
-/** Endpoints that are met so soon after the first request of their service were there before it, in ms. */
-const FIRST_LOOK_MS = 1000
-/** How often endpoints without a lease are forgotten, in ms. */
+/** Endpoints that are found within this time after the first endpoint of their service are assumed to have run before, in ms. */
+const DISCOVERY_MS = 1000
+/** Interval at which the state of endpoints without a lease is removed, in ms. */
 const SWEEP_MS = 5000
-/** `rankOf` gives 32 bits. */
-const RANKS = 2 ** 32
+/** Number of different ranks: a rank has 32 bits. */
+const RANK_COUNT = 2 ** 32
 
 export interface ColdEnginesOptions {
   box: string
   logger: Logger
   leaseOf: (incarnation: string) => HeldLease | undefined
-  /** What a service says of its cold endpoints; undefined where they bear as much as others. */
+  /** The request limit for the cold endpoints of a service; undefined if they can serve as many requests as warm ones. */
   limitOf: (service: string) => ColdLimit | undefined
-  /** Every endpoint that is known. */
+  /** Returns all known endpoints. */
   endpoints: () => readonly EndpointState[]
-  /** How many entries there are. */
+  /** Returns the number of entries in the deployment. */
   entries: () => number
-  /** Asks control. */
+  /** Requests grants from control. */
   ask: (wishes: GrantWish[]) => Promise<Grant[]>
-  /** Has requests that wait for an endpoint look again. */
+  /** Wakes the requests that wait for an endpoint. */
   wake: () => void
-  /** The grants of this box, whatever the reason for which endpoints are bounded. */
+  /** The grants of this box, both for cold endpoints and for endpoints with a rate limit. */
   purse: GrantPurse
-  /** The limit that an endpoint has named, in requests a second; undefined where it takes any number. */
+  /** The rate limit that an endpoint has advertised, in requests a second; undefined if it has none. */
   namedLimitOf?: (incarnation: string) => number | undefined
   now?: () => number
 }
 
-/** What was decided since the start, for the metrics. */
+/** Counters since the start, for the metrics. */
 export interface ColdTotals {
-  /** Requests that were kept from a cold endpoint at least once. */
+  /** Requests for which a cold endpoint was excluded at least once. */
   kept: number
   /** Requests sent to cold endpoints under a grant. */
   sent: number
@@ -53,14 +54,16 @@
   readonly totals: ColdTotals = { kept: 0, sent: 0 }
   readonly asker: GrantAsker
   private readonly purse: GrantPurse
-  private readonly warmths = new Map<string, Warmth>()
-  private readonly firstLooks = new Map<string, number>()
-  /** The endpoints from which a request was kept. */
-  private readonly keptFrom = new WeakMap<Call, Set<string>>()
-  /** When endpoints were opened again whose limit was over. */
+  /** By incarnation. */
+  private readonly states = new Map<string, Warmth>()
+  /** When the first endpoint of each service was found. */
+  private readonly discoveredAt = new Map<string, number>()
+  /** The incarnations of the cold endpoints that were excluded for each request. */
+  private readonly excluded = new WeakMap<Call, Set<string>>()
+  /** When the rate limit of an endpoint ended, by incarnation. */
   private readonly reopenedAt = new Map<string, number>()
-  /** Until when an endpoint that has turned warm or was opened again gets a share only. */
-  private rampsUntil = -Infinity
+  /** When the latest ramp-up of an endpoint that turned warm, or whose rate limit ended, is complete. */
+  private rampEndsAt = -Infinity
   private readonly now: () => number
   private timer: NodeJS.Timeout | undefined
 
@@ -80,129 +83,132 @@
     this.asker.stop()
   }
 
-  /** The rule: a cold endpoint is for requests that have a grant. */
+  /** Excludes cold endpoints while this box has no grant for them, and requests one. */
   readonly rule: EndpointRule = (endpoint, call) => {
     const now = this.now()
-    const warmth = this.lookAt(endpoint, now)
+    const warmth = this.updateState(endpoint, now)
     if (warmth?.isCold !== true) return undefined
     const { incarnation, service } = endpoint.description
     this.asker.noteRequest(service, call)
     if (this.purse.left(incarnation, now) > 0) return undefined
     this.asker.wish({ incarnation, service })
-    this.noteKept(call, incarnation)
-    return `cold, and no grant is at hand (${warmth.why})`
+    this.recordExcluded(call, incarnation)
+    return `cold, and no grant is available (${warmth.why})`
   }
 
-  /** Has an endpoint whose limit is over taken up by a growing share of the requests. */
+  /** Starts the ramp-up of an endpoint whose rate limit has ended. */
   noteReopened (incarnation: string): void {
     const now = this.now()
     this.reopenedAt.set(incarnation, now)
-    this.rampsUntil = now + RAMP_MS
+    this.rampEndsAt = now + RAMP_MS
   }
 
   /**
-   * Those of the endpoints that a request may have that are not to be spared; endpoints that have just turned warm, or were opened
-   * again, get a growing share.
+   * Selects from the eligible endpoints of a request. Endpoints that have just turned warm, or whose rate limit has just ended,
+   * are selected for a growing share of the requests.
    */
   preferred (endpoints: readonly EndpointState[], call: Call): readonly EndpointState[] {
     const now = this.now()
-    if (now >= this.rampsUntil) return endpoints
-    const draw = rankOf(call.requestId) / RANKS
-    const settled = endpoints.filter(({ description: { incarnation } }) => {
-      const warmth = this.warmths.get(incarnation)
+    if (now >= this.rampEndsAt) return endpoints
+    const draw = rankOf(call.requestId) / RANK_COUNT
+    const selected = endpoints.filter(({ description: { incarnation } }) => {
+      const warmth = this.states.get(incarnation)
       const isWarmEnough = warmth === undefined || warmth.isCold || draw < warmth.shareAt(now)
       return isWarmEnough && draw < rampShare(this.reopenedAt.get(incarnation), now)
     })
-    // Where most have just turned warm, the few others could not take the work of all.
-    return 2 * settled.length >= endpoints.length ? settled : endpoints
+    // If most endpoints are ramping up, the remaining few could not serve all requests.
+    return 2 * selected.length >= endpoints.length ? selected : endpoints
   }
 
-  /** Whether an endpoint has requests under a grant only. */
+  /** Whether an endpoint receives requests only under a grant. */
   isCold (endpoint: EndpointState): boolean {
-    return this.lookAt(endpoint, this.now())?.isCold === true
+    return this.updateState(endpoint, this.now())?.isCold === true
   }
 
-  /** Takes leave for one request that is sent now; false if its endpoint is cold and another request has used the grant. */
+  /** Uses a grant for a request that is about to be sent. Returns false if the endpoint is cold and no grant is left. */
   take (endpoint: EndpointState): boolean {
     const now = this.now()
-    if (this.lookAt(endpoint, now)?.isCold !== true) return true
+    if (this.updateState(endpoint, now)?.isCold !== true) return true
     if (!this.purse.take(endpoint.description.incarnation, now)) return false
     this.totals.sent += 1
     return true
   }
 
-  /** What is to be told of a request's choice; empty where no cold endpoint had a part in it. */
+  /** Describes for the log how many cold endpoints were excluded for a request; empty if none were. */
   noteOf (call: Call): string {
-    const kept = this.keptFrom.get(call)
-    return kept === undefined ? '' : `; kept from ${kept.size} cold without a grant`
+    const excluded = this.excluded.get(call)
+    return excluded === undefined ? '' : `; cold endpoints excluded for lack of a grant: ${excluded.size}`
   }
 
-  /** Takes the endpoints of a data centre to be cold: nothing was sent there for a while, and their latest word is from before. */
+  /**
+   * Assumes that the endpoints of a data centre are cold, since they received no requests for a while. Reports that were sent
+   * before are ignored.
+   */
   assumeCold (dataCentre: string, now = this.now()): void {
     for (const endpoint of this.options.endpoints()) {
       const { description } = endpoint
       const startMs = description.dataCentre === dataCentre ? this.options.limitOf(description.service)?.startMs : undefined
       if (startMs === undefined) continue
-      this.lookAt(endpoint, now)
-      this.warmths.get(description.incarnation)?.assume({ since: now, until: now + startMs, why: 'nothing was sent to its data centre' })
+      this.updateState(endpoint, now)
+      this.states.get(description.incarnation)?.assume({ since: now, until: now + startMs, why: 'its data centre received no requests' })
     }
   }
 
-  /** How many endpoints are cold, as this box knows. */
+  /** The number of endpoints that are cold, as far as this box knows. */
   get coldCount (): number {
     const now = this.now()
-    return [...this.warmths.values()].filter(({ coldUntil }) => now < coldUntil).length
+    return [...this.states.values()].filter(({ coldUntil }) => now < coldUntil).length
   }
 
-  /** Looks at an endpoint whose service spares cold ones; undefined for others. */
-  private lookAt ({ description }: EndpointState, now: number): Warmth | undefined {
+  /** Updates the state of an endpoint from its lease; undefined if it has no lease or its service has no limit for cold endpoints. */
+  private updateState ({ description }: EndpointState, now: number): Warmth | undefined {
     const { incarnation, service } = description
     const limit = this.options.limitOf(service)
     if (limit === undefined) return undefined
     const lease = this.options.leaseOf(incarnation)
     if (lease === undefined) return undefined
-    const warmth = this.warmths.get(incarnation) ?? this.firstMet(lease, limit, now)
+    const warmth = this.states.get(incarnation) ?? this.createState(lease, limit, now)
     if (!warmth.look(lease, now)) return warmth
-    this.logTurn(lease, warmth, now)
-    if (!warmth.isCold) this.rampsUntil = now + RAMP_MS
+    this.logTransition(lease, warmth, now)
+    if (!warmth.isCold) this.rampEndsAt = now + RAMP_MS
     return warmth
   }
 
-  /** An endpoint that appears during traffic has just started; where it does not say how cold it is, it is taken to be. */
-  private firstMet ({ incarnation, service, coldMs }: HeldLease, { startMs }: ColdLimit, now: number): Warmth {
+  /** An endpoint that is found later than others has probably just started; without a reported cold time it is assumed cold. */
+  private createState ({ incarnation, service, coldMs }: HeldLease, { startMs }: ColdLimit, now: number): Warmth {
     const warmth = new Warmth()
-    this.warmths.set(incarnation, warmth)
-    const firstLook = this.firstLooks.get(service) ?? now
-    this.firstLooks.set(service, firstLook)
-    const isNew = now - firstLook > FIRST_LOOK_MS
-    if (isNew && coldMs === undefined) warmth.assume({ since: now, until: now + startMs, why: 'it appeared during traffic and does not say' })
+    this.states.set(incarnation, warmth)
+    const discoveredAt = this.discoveredAt.get(service) ?? now
+    this.discoveredAt.set(service, discoveredAt)
+    const isNew = now - discoveredAt > DISCOVERY_MS
+    if (isNew && coldMs === undefined) warmth.assume({ since: now, until: now + startMs, why: 'it is new and reports no cold time' })
     return warmth
   }
 
-  private noteKept (call: Call, incarnation: string): void {
-    const kept = this.keptFrom.get(call)
-    if (kept !== undefined) {
-      kept.add(incarnation)
+  private recordExcluded (call: Call, incarnation: string): void {
+    const excluded = this.excluded.get(call)
+    if (excluded !== undefined) {
+      excluded.add(incarnation)
       return
     }
-    this.keptFrom.set(call, new Set([incarnation]))
+    this.excluded.set(call, new Set([incarnation]))
     this.totals.kept += 1
   }
 
   private sweep (): void {
     const now = this.now()
     for (const [incarnation, at] of this.reopenedAt) if (now - at > RAMP_MS) this.reopenedAt.delete(incarnation)
-    for (const incarnation of this.warmths.keys()) {
+    for (const incarnation of this.states.keys()) {
       if (this.options.leaseOf(incarnation) !== undefined) continue
-      this.warmths.delete(incarnation)
+      this.states.delete(incarnation)
       this.purse.forget(incarnation)
       this.asker.forget(incarnation)
     }
   }
 
-  private logTurn ({ incarnation, service, heardAt }: HeldLease, { isCold, why, coldUntil }: Warmth, now: number): void {
-    const age = `word ${Math.round(now - heardAt)} ms old`
-    const what = isCold ? `cold for ${Math.round(coldUntil - now)} ms more: ${why}` : `its cold time is over, ${age}`
-    this.options.logger.info({ channel: 'endpoint', event: isCold ? 'cold' : 'warm', endpoint: incarnation, why: `${service}: ${what}` })
+  private logTransition ({ incarnation, service, heardAt }: HeldLease, { isCold, why, coldUntil }: Warmth, now: number): void {
+    const age = `last report ${Math.round(now - heardAt)} ms old`
+    const state = isCold ? `cold for another ${Math.round(coldUntil - now)} ms: ${why}` : `its cold time is over, ${age}`
+    this.options.logger.info({ channel: 'endpoint', event: isCold ? 'cold' : 'warm', endpoint: incarnation, why: `${service}: ${state}` })
   }
 }
--- a/entry/gateway/src/warmth.ts
+++ b/entry/gateway/src/warmth.ts
@@ -1,16 +1,16 @@
-/** Whether one endpoint is cold, as far as this box knows: by its word, or by what is assumed until its next word. */
+/** Whether an endpoint is cold, by its own report or by an assumption that holds until its next report. */
 import { type HeldLease } from '@gullwall/control.registry'
 
-/** How much later than by the endpoint's own word it is taken to be warm, as a share: clocks differ by 0.02 each. */
+/** Share by which the reported cold time is extended, since each clock may run up to 0.02 too fast or too slow. */
 const CLOCK_MARGIN = 0.05
-/** A heartbeat that arrives so long after a moment, in ms, was begun after it: an endpoint gives up on an answer after a second. */
-const HEARTBEAT_FLIGHT_MS = 1000
-/** For how long an endpoint that has just turned warm gets a growing share of the requests, in ms. */
+/** The longest time from the start of a heartbeat until it is received, in ms: endpoints give up on one after a second. */
+const MAX_HEARTBEAT_DELAY_MS = 1000
+/** Duration of the ramp-up, in which an endpoint receives a growing share of the requests, in ms. */
 export const RAMP_MS = 2000
-/** The share with which it begins: about what it had by grants. */
-const RAMP_START = 0.1
+/** Share of the requests at the start of the ramp-up: about the share that grants allowed. */
+const RAMP_START_SHARE = 0.1
 
-/** What is assumed of an endpoint until a heartbeat that was begun later tells. */
+/** The assumption that an endpoint is cold. It holds until a heartbeat that started later reports the cold time. */
 interface Assumption {
   since: number
   until: number
@@ -19,43 +19,43 @@
 
 export class Warmth {
   isCold = false
-  /** Until when it is cold, as it was known at the latest look. */
+  /** Until when the endpoint is cold, as of the last update. */
   coldUntil = -Infinity
-  /** Why it is taken to be cold, or was. */
+  /** Why the endpoint is considered cold, or was when it last was. */
   why = ''
   private warmSince = -Infinity
   private assumption: Assumption | undefined
 
-  /** Takes it to be cold for some time, unless a heartbeat that is begun later says otherwise. */
+  /** Considers the endpoint cold for some time, unless a heartbeat that starts later reports otherwise. */
   assume (assumption: Assumption): void {
     this.assumption = assumption
   }
 
-  /** Looks at the latest word; true where it has turned. */
+  /** Updates the state from the latest lease. Returns true if the endpoint has become cold or warm. */
   look (lease: HeldLease, now: number): boolean {
     const wasCold = this.isCold
-    const sureAt = (this.assumption?.since ?? Infinity) + HEARTBEAT_FLIGHT_MS
-    if (lease.coldMs !== undefined && lease.heardAt > sureAt) this.assumption = undefined
-    const told = lease.coldMs === undefined ? -Infinity : lease.heardAt + (1 + CLOCK_MARGIN) * lease.coldMs
+    const confirmedAfter = (this.assumption?.since ?? Infinity) + MAX_HEARTBEAT_DELAY_MS
+    if (lease.coldMs !== undefined && lease.heardAt > confirmedAfter) this.assumption = undefined
+    const reported = lease.coldMs === undefined ? -Infinity : lease.heardAt + (1 + CLOCK_MARGIN) * lease.coldMs
     const assumed = this.assumption?.until ?? -Infinity
-    this.coldUntil = Math.max(told, assumed)
+    this.coldUntil = Math.max(reported, assumed)
     this.isCold = now < this.coldUntil
-    if (this.isCold) this.why = told < assumed ? this.assumption?.why ?? '' : whatItSaid(lease, now)
+    if (this.isCold) this.why = reported < assumed ? this.assumption?.why ?? '' : describeReport(lease, now)
     else if (wasCold) this.warmSince = now
     return wasCold !== this.isCold
   }
 
-  /** The share of the requests that may have it, besides those with a grant: it grows up to 1 once it has turned warm. */
+  /** The share of the requests that the endpoint receives after it has become warm; it grows to 1. */
   shareAt (now: number): number {
     return rampShare(this.warmSince, now)
   }
 }
 
-/** The share of the requests that may have an endpoint which was opened to them at a time: it grows up to 1. */
-export function rampShare (openedAt: number | undefined, now: number): number {
-  return openedAt === undefined ? 1 : Math.min(1, RAMP_START + (1 - RAMP_START) * (now - openedAt) / RAMP_MS)
+/** The share of the requests that an endpoint receives after its ramp-up started; it grows to 1. */
+export function rampShare (startedAt: number | undefined, now: number): number {
+  return startedAt === undefined ? 1 : Math.min(1, RAMP_START_SHARE + (1 - RAMP_START_SHARE) * (now - startedAt) / RAMP_MS)
 }
 
-function whatItSaid ({ heardAt, coldMs }: HeldLease, now: number): string {
-  return `it said ${Math.round(now - heardAt)} ms ago: for ${coldMs ?? 0} ms`
+function describeReport ({ heardAt, coldMs }: HeldLease, now: number): string {
+  return `reported ${Math.round(now - heardAt)} ms ago: cold for ${coldMs ?? 0} ms`
 }
--- a/entry/gateway/test/cold-box.ts
+++ b/entry/gateway/test/cold-box.ts
@@ -1,4 +1,4 @@
-/** One gateway's part in sparing cold endpoints, before a control process whose answers a test gives. */
+/** A gateway with cold endpoints, and a control process whose answers the test sets. */
 import { type HeldLease } from '@gullwall/control.registry'
 import { silentLogger } from '@gullwall/core.logger'
 import { EndpointState } from '@gullwall/routing.balancer'
@@ -7,11 +7,11 @@
 import { ColdEngines } from '../src/cold-engines.ts'
 import { GrantPurse } from '../src/grant-purse.ts'
 
-/** What the services of the tests say: 21 requests within a second by the deployment's overrun of 1.5 and slack of 5. */
+/** The limit of the services; with an overrun of 1.5 and a slack of 5 a cold endpoint receives at most 21 requests a second. */
 export const COLD_LIMIT = { perSecond: 11, startMs: 6000 }
 export const BOUND = 21
 
-/** One box before a control process whose answers a test gives. */
+/** One box with a gateway. */
 export class Box {
   readonly endpoints: EndpointState[] = []
   readonly asked: GrantWish[][] = []
@@ -39,7 +39,7 @@
     })
   }
 
-  /** Hears of an endpoint, for the first time or again. */
+  /** Receives the lease of an endpoint, for the first time or again. */
   hear (incarnation: string, coldMs: number | undefined, { dataCentre = 'dc1', service = 'lm', ageMs = 0 } = {}): EndpointState {
     const lease: HeldLease = {
       incarnation, service, dataCentre, coldMs, address: `${incarnation}:80`, slots: 64, state: 'ready', sequence: 1, heardAt: performance.now() - ageMs
--- a/entry/gateway/test/cold-engines.test.ts
+++ b/entry/gateway/test/cold-engines.test.ts
@@ -3,11 +3,11 @@
 import { Box, COLD_LIMIT } from './cold-box.ts'
 
 const LONG_COLD_MS = 60_000
-const SECOND = 1000
+const SECOND_MS = 1000
 
 const grant = (incarnation: string, requests: number, withinMs = 600): Grant => ({ incarnation, requests, withinMs })
 
-/** Lets answers that are there arrive. */
+/** Runs pending promise callbacks and due timers. */
 async function settle (): Promise<void> {
   await vi.advanceTimersByTimeAsync(0)
 }
@@ -16,22 +16,22 @@
 afterEach(() => { vi.useRealTimers() })
 
 describe('a cold endpoint', () => {
-  it('gets nothing without a grant, and the request is told why', async () => {
+  it('receives nothing without a grant, and the reason is reported', async () => {
     const box = new Box()
     const cold = box.hear('i-cold', 5000)
     const warm = box.hear('i-warm', 0)
     const call = box.call()
     expect(box.eligible(call)).toEqual([warm])
-    expect(box.whyNot(cold, call)).toMatch(/^cold, and no grant is at hand \(it said 0 ms ago: for 5000 ms\)/)
+    expect(box.whyNot(cold, call)).toMatch(/^cold, and no grant is available \(reported 0 ms ago: cold for 5000 ms\)/)
     expect(box.engines.take(cold)).toBe(false)
-    expect(box.engines.noteOf(call)).toBe('; kept from 1 cold without a grant')
+    expect(box.engines.noteOf(call)).toBe('; cold endpoints excluded for lack of a grant: 1')
     expect(box.engines.noteOf(box.call())).toBe('')
     await settle()
     expect(box.asked).toEqual([[{ incarnation: 'i-cold', service: 'lm', requests: 2 }]])
     expect(box.engines.totals).toEqual({ kept: 1, sent: 0 })
   })
 
-  it('gets as many requests as were granted', async () => {
+  it('receives as many requests as were granted', async () => {
     const box = new Box()
     const cold = box.hear('i-cold', 5000)
     box.answer = async () => [grant('i-cold', 2)]
@@ -43,7 +43,7 @@
     expect(box.eligible()).toEqual([])
   })
 
-  it('gets nothing under a grant that is over, also if that ends between the choice and the send', async () => {
+  it('receives nothing under an expired grant, even if the grant expires between the choice and the send', async () => {
     const box = new Box()
     const cold = box.hear('i-cold', 5000)
     box.answer = async () => [grant('i-cold', 5)]
@@ -56,7 +56,7 @@
     expect(box.eligible()).toEqual([])
   })
 
-  it('gets nothing under a grant that was too long under way: its time runs from the ask', async () => {
+  it('receives nothing under a grant that arrives late, as its time runs from the grant request', async () => {
     const box = new Box()
     box.hear('i-cold', 5000)
     let answer: (grants: Grant[]) => void = () => {}
@@ -68,7 +68,7 @@
     expect(box.eligible()).toEqual([])
   })
 
-  it('is asked for again only after the time that a refusal names', async () => {
+  it('is requested again only after the time that a refusal states', async () => {
     const box = new Box()
     box.hear('i-cold', 5000)
     box.answer = async () => [grant('i-cold', 0, 700)]
@@ -82,7 +82,7 @@
     expect(box.asked).toHaveLength(2)
   })
 
-  it('is asked for again by a request that waits, though no other arrives', async () => {
+  it('is requested again for a waiting request even if no other request arrives', async () => {
     const box = new Box()
     box.hear('i-cold', 5000)
     box.answer = async () => [grant('i-cold', 0, 300)]
@@ -93,7 +93,7 @@
     expect(box.woken).toBeGreaterThan(woken)
   })
 
-  it('gets nothing while nobody answers, and asks then come less often', async () => {
+  it('receives nothing while control does not answer, and is then requested less often', async () => {
     const box = new Box()
     box.hear('i-cold', LONG_COLD_MS)
     box.answer = async () => { throw new Error('no leader is known') }
@@ -106,21 +106,21 @@
     expect(box.engines.asker.totals.failed).toBe(box.asked.length)
   })
 
-  it('is asked for the more rarely the more boxes ask, so that one process can answer all of them', async () => {
-    const asksOf = async (entries: number) => {
+  it('is requested less often the more boxes there are, so that one control process can answer all of them', async () => {
+    const countRequests = async (entries: number) => {
       const box = new Box()
       box.entries = entries
       box.hear('i-cold', LONG_COLD_MS)
-      for (let ms = 0; ms < SECOND; ms += 10) {
+      for (let ms = 0; ms < SECOND_MS; ms += 10) {
         box.eligible()
         await vi.advanceTimersByTimeAsync(10)
       }
       return box.asked.length
     }
-    expect([await asksOf(28), await asksOf(560)]).toEqual([20, 4])
+    expect([await countRequests(28), await countRequests(560)]).toEqual([20, 4])
   })
 
-  it('is asked for as many requests as came lately, also where its service is one of several of a route', async () => {
+  it('is requested for as many requests as arrived recently, also if its service is one of several of a route', async () => {
     const box = new Box()
     box.hear('i-1', LONG_COLD_MS)
     box.hear('i-2', LONG_COLD_MS, { service: 'lm-next' })
@@ -131,14 +131,14 @@
     ])
   })
 
-  it('is not asked for while half of what is needed is at hand', async () => {
+  it('is not requested while half of the needed grants are available', async () => {
     const box = new Box()
     box.hear('i-1', LONG_COLD_MS)
     box.hear('i-2', LONG_COLD_MS)
     box.answer = async (wishes) => wishes.map(({ incarnation }) => grant(incarnation, 1))
     box.eligible()
     await settle()
-    // One grant is there, and two requests came lately.
+    // One grant is available, and two requests arrived recently.
     await vi.advanceTimersByTimeAsync(60)
     box.eligible()
     await settle()
@@ -149,7 +149,7 @@
     expect(box.asked).toHaveLength(2)
   })
 
-  it('is not spared where its service does not say what it bears', () => {
+  it('is not limited if its service has no limit for cold endpoints', () => {
     const box = new Box()
     const plain = box.hear('i-plain', 5000, { service: 'plain' })
     expect(box.whyNot(plain)).toBeUndefined()
@@ -158,7 +158,7 @@
 })
 
 describe('an endpoint', () => {
-  it('is cold for the time that it told, less the age of its word, and a little more', async () => {
+  it('is cold for the reported time, less the age of the report, plus a margin', async () => {
     const box = new Box()
     const endpoint = box.hear('i-1', 2000, { ageMs: 1000 })
     expect(box.whyNot(endpoint)).toBeDefined()
@@ -168,7 +168,7 @@
     expect(box.whyNot(endpoint)).toBeUndefined()
   })
 
-  it('that turns cold again gets nothing more', () => {
+  it('that becomes cold again receives nothing more', () => {
     const box = new Box()
     const endpoint = box.hear('i-1', 0)
     expect(box.whyNot(endpoint)).toBeUndefined()
@@ -176,7 +176,7 @@
     expect(box.whyNot(endpoint)).toBeDefined()
   })
 
-  it('that appears during traffic and does not say is taken to be cold for its usual time', async () => {
+  it('that is found later than others and reports no cold time is assumed to be cold for its usual start time', async () => {
     const box = new Box()
     const old = box.hear('i-old', undefined)
     expect(box.whyNot(old)).toBeUndefined()
@@ -187,7 +187,7 @@
     expect(box.whyNot(fresh)).toBeUndefined()
   })
 
-  it('of a data centre that gets work again is cold until a heartbeat that was begun later says otherwise', async () => {
+  it('of a data centre that receives requests again is cold until a heartbeat that started later reports otherwise', async () => {
     const box = new Box()
     const near = box.hear('i-near', 0)
     const far = box.hear('i-far', 0, { dataCentre: 'dc2' })
@@ -195,7 +195,7 @@
     box.engines.assumeCold('dc2')
     expect(box.eligible()).toEqual([near])
     await vi.advanceTimersByTimeAsync(900)
-    // This one may have been begun before.
+    // This heartbeat may have started before the assumption.
     box.hear('i-far', 0, { dataCentre: 'dc2' })
     expect(box.eligible()).toEqual([near])
     await vi.advanceTimersByTimeAsync(300)
@@ -203,7 +203,7 @@
     expect(box.eligible()).toEqual([near, far])
   })
 
-  it('that has turned warm gets a growing share of the requests', async () => {
+  it('that has become warm receives a growing share of the requests', async () => {
     const box = new Box()
     const warm = ['i-1', 'i-2', 'i-3'].map((name) => box.hear(name, 0))
     const endpoint = box.hear('i-4', 1000)
@@ -211,8 +211,8 @@
     await vi.advanceTimersByTimeAsync(1100)
     const shareNow = () => {
       const preferred = Array.from({ length: 400 }, () => box.call()).map((call) => box.engines.preferred(box.eligible(call), call))
-      expect(preferred.every((those) => warm.every((other) => those.includes(other)))).toBe(true)
-      return preferred.filter((those) => those.includes(endpoint)).length / 400
+      expect(preferred.every((endpoints) => warm.every((other) => endpoints.includes(other)))).toBe(true)
+      return preferred.filter((endpoints) => endpoints.includes(endpoint)).length / 400
     }
     expect(shareNow()).toBeCloseTo(0.1, 1)
     await vi.advanceTimersByTimeAsync(1000)
@@ -221,7 +221,7 @@
     expect(shareNow()).toBe(1)
   })
 
-  it('that has turned warm with most others gets its work at once: the few others could not take all of it', async () => {
+  it('that has become warm together with most others receives its full share at once, as the rest could not serve all requests', async () => {
     const box = new Box()
     box.hear('i-warm', 0)
     for (const name of ['i-1', 'i-2', 'i-3']) box.hear(name, 1000)
--- a/entry/gateway/test/cold-path.test.ts
+++ b/entry/gateway/test/cold-path.test.ts
@@ -25,30 +25,30 @@
 afterEach(() => { vi.restoreAllMocks() })
 
 describe('requests to a cold endpoint', () => {
-  it('are refused until there are grants, with the reason and when to come back', async () => {
+  it('are refused without a grant, with the reason and a retry-after header', async () => {
     const reply = await call()
     expect(reply).toMatchObject({ status: 503, headers: { 'retry-after': expect.any(String) as string } })
-    expect(reply.text).toContain('no endpoint may have it: cold, and no grant is at hand')
-    expect(deployment.story(reply.id).at(-1)).toMatchObject({ decision: 'refuse', why: expect.stringContaining('kept from 1 cold') as string })
+    expect(reply.text).toContain('no endpoint may have it: cold, and no grant is available')
+    expect(deployment.story(reply.id).at(-1)).toMatchObject({ decision: 'refuse', why: expect.stringContaining('cold endpoints excluded for lack of a grant: 1') as string })
     expect(cold.arrived).toEqual([])
   })
 
-  it('are sent under a grant of control', async () => {
+  it('are sent under a grant from control', async () => {
     await until('a grant', async () => (await call()).status === 200)
     expect(cold.arrived).toHaveLength(1)
     expect(deployment.gateway.get('coldEngines').totals.sent).toBe(1)
   }, 15_000)
 
-  it('are sent elsewhere while there is no grant, which their log lines tell', async () => {
+  it('are sent to other endpoints without a grant, and their log lines report this', async () => {
     await deployment.register(warm, 'ready', 1, 0)
     const replies = await Promise.all(Array.from({ length: 40 }, call))
     expect(replies.filter(({ status }) => status === 200)).toHaveLength(40)
     expect(cold.arrived.length).toBeLessThanOrEqual(10)
-    const kept = replies.flatMap(({ id }) => deployment.story(id)).filter(({ why }) => String(why).endsWith('; kept from 1 cold without a grant'))
-    expect(kept.length).toBeGreaterThan(0)
+    const redirected = replies.flatMap(({ id }) => deployment.story(id)).filter(({ why }) => String(why).endsWith('; cold endpoints excluded for lack of a grant: 1'))
+    expect(redirected.length).toBeGreaterThan(0)
   })
 
-  it('are not sent to one that has turned cold while they waited for a connection', async () => {
+  it('are not sent to an endpoint that becomes cold while they wait for a connection', async () => {
     const { connections, view } = deployment.gateway.services
     const to = connections.to.bind(connections)
     let turned = ''
@@ -62,7 +62,7 @@
     })
     const before = warm.arrived.length
     let last = ''
-    await until('a request that was chosen for it', async () => {
+    await until('a request for which it was chosen', async () => {
       last = (await call()).id
       return turned !== ''
     })
--- a/entry/gateway/test/cold-together.test.ts
+++ b/entry/gateway/test/cold-together.test.ts
@@ -5,21 +5,21 @@
 import { BOUND, Box } from './cold-box.ts'
 
 const LONG_COLD_MS = 60_000
-const SECOND = 1000
+const SECOND_MS = 1000
 const TICK_MS = 10
 const SECONDS = 10
-/** Nothing is counted until endpoints that were never asked for are granted. */
-const SETTLED_MS = 2000
+/** Requests are counted from this time on: control grants nothing for an endpoint when it is first requested. */
+const WARM_UP_MS = 2000
 const SEED = Number(process.env['FUZZ_SEED'] ?? 3)
 
-interface Play {
+interface Scenario {
   boxes: number
   warm: number
   cold: number
-  /** Requests of each box in a second, at random moments. */
-  rate: number
-  /** For how long a request waits for an endpoint, in ms. */
-  patienceMs: number
+  /** Requests a second of each box, at random times. */
+  ratePerSecond: number
+  /** The time for which a request waits for an endpoint, in ms. */
+  waitMs: number
 }
 
 interface Waiting {
@@ -28,68 +28,69 @@
   until: number
 }
 
-/** Boxes that share one ledger, and requests that take the endpoint which has had the fewest, as empty ones look. */
-class Together {
+/** Boxes that share one grant ledger. Each request goes to the eligible endpoint that has received the fewest requests. */
+class Simulation {
+  /** The times of the requests that were sent, by incarnation. */
   readonly sent = new Map<string, number[]>()
   total = 0
   refused = 0
-  asks = 0
+  grantRequests = 0
   private readonly boxes: Box[]
   private readonly ledger = new GrantLedger({ opensAt: -Infinity })
   private readonly startedAt = performance.now()
   private waiting: Waiting[] = []
 
-  constructor (private readonly play: Play, private readonly random: () => number) {
-    this.boxes = Array.from({ length: play.boxes }, (_unused, index) => this.newBox(`b${index}`))
+  constructor (private readonly scenario: Scenario, private readonly random: () => number) {
+    this.boxes = Array.from({ length: scenario.boxes }, (_unused, index) => this.newBox(`b${index}`))
   }
 
   async run (): Promise<void> {
-    const next = this.boxes.map(() => this.startedAt + this.gap())
-    for (let ms = 0; ms < SECONDS * SECOND; ms += TICK_MS) {
+    const next = this.boxes.map(() => this.startedAt + this.nextGapMs())
+    for (let ms = 0; ms < SECONDS * SECOND_MS; ms += TICK_MS) {
       for (const [index, box] of this.boxes.entries()) {
-        for (; (next[index] as number) <= performance.now(); next[index] = (next[index] as number) + this.gap()) this.arrive(box)
+        for (; (next[index] as number) <= performance.now(); next[index] = (next[index] as number) + this.nextGapMs()) this.arrive(box)
       }
       await vi.advanceTimersByTimeAsync(TICK_MS)
       this.waiting = this.waiting.filter((request) => !this.isOver(request))
     }
   }
 
-  /** How many requests went to endpoints whose names begin so. */
+  /** Returns the number of requests to endpoints whose names start with a prefix. */
   sentTo (prefix: string): number {
     return [...this.sent].reduce((sum, [incarnation, at]) => incarnation.startsWith(prefix) ? sum + at.length : sum, 0)
   }
 
-  /** The most requests that one cold endpoint had within a second. */
-  get busiest (): number {
+  /** The most requests that one cold endpoint received within a second. */
+  get peakRate (): number {
     const cold = [...this.sent].flatMap(([incarnation, at]) => incarnation.startsWith('cold') ? [at] : [])
-    const within = (at: number[], from: number) => at.filter((moment) => moment >= from && moment <= from + SECOND).length
-    return Math.max(...cold.flatMap((at) => at.map((from) => within(at, from))))
+    const countFrom = (at: number[], from: number) => at.filter((time) => time >= from && time <= from + SECOND_MS).length
+    return Math.max(...cold.flatMap((at) => at.map((from) => countFrom(at, from))))
   }
 
   private newBox (name: string): Box {
     const box = new Box(name)
-    for (let index = 0; index < this.play.warm; index += 1) box.hear(`warm-${index}`, 0)
-    for (let index = 0; index < this.play.cold; index += 1) box.hear(`cold-${index}`, LONG_COLD_MS)
-    box.entries = this.play.boxes
+    for (let index = 0; index < this.scenario.warm; index += 1) box.hear(`warm-${index}`, 0)
+    for (let index = 0; index < this.scenario.cold; index += 1) box.hear(`cold-${index}`, LONG_COLD_MS)
+    box.entries = this.scenario.boxes
     box.answer = async (wishes) => {
-      this.asks += 1
+      this.grantRequests += 1
       return wishes.map((wish) => this.ledger.grant({ ...wish, box: name, bounds: [coldGrantBound(BOUND)] }, performance.now()))
     }
     return box
   }
 
-  private gap (): number {
-    return -Math.log(1 - this.random()) * SECOND / this.play.rate
+  private nextGapMs (): number {
+    return -Math.log(1 - this.random()) * SECOND_MS / this.scenario.ratePerSecond
   }
 
   private get isCounted (): boolean {
-    return performance.now() - this.startedAt > SETTLED_MS
+    return performance.now() - this.startedAt > WARM_UP_MS
   }
 
   private arrive (box: Box): void {
     const call = box.call()
     if (this.isCounted) this.total += 1
-    if (!this.send(box, call)) this.waiting.push({ box, call, until: performance.now() + this.play.patienceMs })
+    if (!this.send(box, call)) this.waiting.push({ box, call, until: performance.now() + this.scenario.waitMs })
   }
 
   private isOver ({ box, call, until }: Waiting): boolean {
@@ -112,38 +113,38 @@
   }
 }
 
-async function played (play: Play): Promise<Together> {
+async function simulate (scenario: Scenario): Promise<Simulation> {
   let draws = 0
-  const together = new Together(play, () => rankOf(`${SEED} ${draws++}`) / 2 ** 32)
-  await together.run()
-  const { total, refused, asks, busiest } = together
-  console.log(`seed ${SEED}: ${total} requests, ${refused} refused, ${together.sentTo('cold')} sent to cold endpoints, ` +
-    `at most ${busiest} of ${BOUND} to one within a second, ${Math.round(asks / SECONDS)} asks a second`)
-  return together
+  const simulation = new Simulation(scenario, () => rankOf(`${SEED} ${draws++}`) / 2 ** 32)
+  await simulation.run()
+  const { total, refused, grantRequests, peakRate } = simulation
+  console.log(`seed ${SEED}: ${total} requests, ${refused} refused, ${simulation.sentTo('cold')} sent to cold endpoints, ` +
+    `at most ${peakRate} of ${BOUND} to one within a second, ${Math.round(grantRequests / SECONDS)} grant requests a second`)
+  return simulation
 }
 
 beforeEach(() => { vi.useFakeTimers() })
 afterEach(() => { vi.useRealTimers() })
 
-describe('a whole data centre that comes back cold', () => {
-  it('fills up at the granted rate, while warm endpoints elsewhere take the work', async () => {
-    const together = await played({ boxes: 28, warm: 24, cold: 12, rate: 5.2, patienceMs: 80 })
-    expect(together.busiest).toBeLessThanOrEqual(BOUND)
-    expect(together.refused).toBe(0)
-    // All of them are used, and no request but those of the first second would wait for them.
-    expect([...together.sent.keys()].filter((name) => name.startsWith('cold'))).toHaveLength(12)
-    expect(together.sentTo('cold')).toBeGreaterThan(together.sentTo('warm') / 4)
+describe('a data centre whose endpoints are all cold', () => {
+  it('receives requests at the granted rate, while warm endpoints elsewhere serve the rest', async () => {
+    const simulation = await simulate({ boxes: 28, warm: 24, cold: 12, ratePerSecond: 5.2, waitMs: 80 })
+    expect(simulation.peakRate).toBeLessThanOrEqual(BOUND)
+    expect(simulation.refused).toBe(0)
+    // All cold endpoints are used.
+    expect([...simulation.sent.keys()].filter((name) => name.startsWith('cold'))).toHaveLength(12)
+    expect(simulation.sentTo('cold')).toBeGreaterThan(simulation.sentTo('warm') / 4)
   }, 20_000)
 })
 
-describe('a service all of whose endpoints are cold', () => {
-  it('is served at the granted rate, and refuses what comes beyond it', async () => {
-    const enough = await played({ boxes: 28, warm: 0, cold: 36, rate: 5.2, patienceMs: 80 })
-    expect(enough.busiest).toBeLessThanOrEqual(BOUND)
-    expect(enough.refused).toBeLessThan(enough.total / 20)
-    const tooMuch = await played({ boxes: 28, warm: 0, cold: 3, rate: 5.2, patienceMs: 80 })
-    expect(tooMuch.busiest).toBeLessThanOrEqual(BOUND)
-    expect(tooMuch.refused).toBeGreaterThan(tooMuch.total / 2)
-    expect(tooMuch.sentTo('cold')).toBeGreaterThan(3 * 5 * SECONDS)
+describe('a service with only cold endpoints', () => {
+  it('serves requests at the granted rate and refuses the others', async () => {
+    const withinRate = await simulate({ boxes: 28, warm: 0, cold: 36, ratePerSecond: 5.2, waitMs: 80 })
+    expect(withinRate.peakRate).toBeLessThanOrEqual(BOUND)
+    expect(withinRate.refused).toBeLessThan(withinRate.total / 20)
+    const aboveRate = await simulate({ boxes: 28, warm: 0, cold: 3, ratePerSecond: 5.2, waitMs: 80 })
+    expect(aboveRate.peakRate).toBeLessThanOrEqual(BOUND)
+    expect(aboveRate.refused).toBeGreaterThan(aboveRate.total / 2)
+    expect(aboveRate.sentTo('cold')).toBeGreaterThan(3 * 5 * SECONDS)
   }, 20_000)
 })
