--- a/entry/gateway/src/admin.ts
+++ b/entry/gateway/src/admin.ts
@@ -1,4 +1,4 @@
-/** Readiness for the balancer, and metrics and status for operators. */
+/** HTTP servers for the readiness checks of the load balancer and for the metrics and status that operators read. */
 import { createRegistry, type Registry } from '@gullwall/core.metrics'
 import { createAdminServer, HttpServer, Koa, type HttpServer as Server } from '@gullwall/transport.http-server'
 import { linkMetrics } from '@gullwall/transport.link'
@@ -20,7 +20,7 @@
     beliefGauges(registry, this.services)
     this.admin = createAdminServer({
       registry,
-      notReady: () => this.notReady(),
+      notReady: () => this.findNotReadyReason(),
       pages: {
         '/status': () => ({
           role: 'gateway',
@@ -46,24 +46,28 @@
     await this.admin?.close()
   }
 
-  private notReady (): string | undefined {
+  /** Returns why this process is not ready; undefined if it is. */
+  private findNotReadyReason (): string | undefined {
     return this.services.ingress.isStopping ? 'stopping' : this.services.controlLinks.notReady()
   }
 
-  /** Why the balancer should send nothing here; a process that has just started takes requests and holds them. */
-  private takesNothing (): string | undefined {
-    const why = this.notReady()
+  /**
+   * Returns why the load balancer should send no requests here; undefined if it can. A process that has just started accepts
+   * requests and holds them until it is ready.
+   */
+  private findUnavailableReason (): string | undefined {
+    const reason = this.findNotReadyReason()
     const isHolding = !this.services.ingress.isStopping && isStartingUp(performance.now(), this.services.startedAt)
-    return isHolding ? undefined : why
+    return isHolding ? undefined : reason
   }
 
-  /** Whatever the path: the balancer only looks at the status. */
+  /** Answers every path alike, since the load balancer only reads the status code. */
   private readinessApp (): Koa {
     const app = new Koa()
     app.use((context) => {
-      const why = this.takesNothing()
-      context.status = why === undefined ? 200 : 503
-      context.body = why ?? 'ready'
+      const reason = this.findUnavailableReason()
+      context.status = reason === undefined ? 200 : 503
+      context.body = reason ?? 'ready'
     })
     return app
   }
--- a/entry/gateway/src/connections-seen.ts
+++ b/entry/gateway/src/connections-seen.ts
@@ -1,12 +1,12 @@
-/** A look at the connections before a request is sent. */
+/** Yields to the event loop before a request is sent. */
 import { setImmediate as nextTurn } from 'node:timers/promises'
 
 /**
- * Lets the event loop look at its connections once more. A loop that was held finds a request and the end of its connection
- * together; without this it would send on a request whose caller has left (19 in a play of 300 processes at their start).
+ * Lets the event loop poll its sockets once more. After the loop was blocked, a request and the end of its connection are read
+ * together; without this poll, the request would be sent to an endpoint although its caller has disconnected.
  */
 export async function connectionsSeen (): Promise<void> {
-  // The first turn ends the one in which the request was read, the second follows the next look at the connections.
+  // The first turn ends the turn in which the request was read; the second turn follows the next poll of the sockets.
   await nextTurn()
   await nextTurn()
 }
--- a/entry/gateway/src/connections.ts
+++ b/entry/gateway/src/connections.ts
@@ -1,4 +1,4 @@
-/** Connections to endpoints: one pool for each incarnation, bounded by this entry's share. */
+/** Connection pools to endpoints: one for each incarnation, limited to this entry's share of the endpoint's connections. */
 import { type Socket } from 'node:net'
 import { buildConnector, Pool, type Dispatcher } from 'undici'
 import { type EndpointDescription } from '@gullwall/routing.balancer'
@@ -6,10 +6,10 @@
 const KEEP_ALIVE_MS = 4000
 const MAX_KEEP_ALIVE_MS = 60_000
 const CONNECT_TIMEOUT_MS = 2000
-/** What is left to callers other than the entries, and to entries that come and go. */
+/** Share of an endpoint's connections that the entries use; the rest is for other callers and for entries that join. */
 const SHARE_OF_CONNECTIONS = 0.8
 
-/** Told the data centre of an endpoint and how long the connection took to be made, in ms. */
+/** Called with the data centre of an endpoint and the time that it took to connect, in ms. */
 export type ConnectedListener = (dataCentre: string, tookMs: number) => void
 
 export class Connections {
@@ -20,14 +20,14 @@
   constructor (private readonly onConnected: ConnectedListener = () => {}) {}
 
   /**
-   * Whether the connection that is ending in this very moment was closed by the endpoint and not reset. Asked by an
-   * answer that ends with its connection.
+   * Returns whether the connection that is ending at this moment was closed by the endpoint rather than reset. Used for an answer
+   * whose end is marked by the end of its connection.
    */
   async wasClosedWell (): Promise<boolean> {
     return await this.latestEnd
   }
 
-  /** Gives the dispatcher for one incarnation of an endpoint. */
+  /** Returns the dispatcher for one incarnation of an endpoint. */
   to ({ incarnation, address, dataCentre }: EndpointDescription, maxConnections: number, entries: number): Dispatcher {
     const known = this.pools.get(incarnation)
     if (known !== undefined) return known
@@ -45,7 +45,7 @@
     return pool
   }
 
-  /** Closes the connections to an incarnation once its work has ended. */
+  /** Closes the connections to an incarnation once its running requests have ended. */
   forget (incarnation: string): void {
     const pool = this.pools.get(incarnation)
     this.pools.delete(incarnation)
@@ -60,23 +60,23 @@
 }
 
 /**
- * Tells how a connection ends before the HTTP client sees it. The client takes what has arrived of an answer without a
- * length for the whole of it also when the connection was reset, and the runtime reports a reset that arrives together
- * with data as an ordinary end.
+ * Reports how a connection ends before the HTTP client handles its end. The client accepts an answer without a length as
+ * complete even if the connection was reset, and the runtime reports a reset that arrives together with data as an ordinary
+ * end.
  */
 function watchedConnector (onEnding: (wasClosedWell: Promise<boolean>) => void): buildConnector.connector {
   const connect = buildConnector({ timeout: CONNECT_TIMEOUT_MS })
   return (options, callback) => {
     connect(options, (...result) => {
       const socket: Socket | null = result[1]
-      socket?.prependListener('end', () => onEnding(takesBytes(socket)))
+      socket?.prependListener('end', () => onEnding(isWritable(socket)))
       socket?.prependListener('error', () => onEnding(Promise.resolve(false)))
       callback(...result)
     })
   }
 }
 
-/** Tells how long connections take to be made. */
+/** Reports how long it takes to connect. */
 function timedConnector (connect: buildConnector.connector, onConnected: (tookMs: number) => void): buildConnector.connector {
   return (options, callback) => {
     const startedAt = performance.now()
@@ -87,8 +87,8 @@
   }
 }
 
-/** A connection that was reset refuses a write at once; one whose other end has closed still takes it. */
-async function takesBytes (socket: Socket): Promise<boolean> {
+/** Tests whether a connection was closed in order: a write fails at once after a reset, and succeeds after a close by the peer. */
+async function isWritable (socket: Socket): Promise<boolean> {
   return await new Promise((resolve) => {
     socket.write('\r\n', (error) => resolve(error == null))
   })
--- a/entry/gateway/src/control-addresses.ts
+++ b/entry/gateway/src/control-addresses.ts
@@ -1,32 +1,32 @@
 /**
- * The addresses of control processes, and which of them are dialled no more. Processes that are replaced leave theirs behind:
- * each would be dialled about twice a second for ever, and count as one that can't be reached.
+ * The addresses of control processes, and their expiry. A control process that is replaced leaves its address behind. Without
+ * expiry, that address would be dialled about twice a second forever and would count as an unreachable control process.
  */
 
-/** An address that is not linked and that nobody names is forgotten after this time, in ms: well above a restart. */
-const FORGET_MS = 30_000
+/** An address that is neither linked nor announced expires after this time, in ms: well above the time of a restart. */
+const EXPIRY_MS = 30_000
 
 export class ControlAddresses {
   private seeds: ReadonlySet<string> = new Set()
-  private readonly namedAt = new Map<string, number>()
+  private readonly announcedAt = new Map<string, number>()
 
-  /** Takes the addresses of the settings in force; those of earlier settings are kept as long as others name them. */
+  /** Replaces the addresses from the settings. Addresses from earlier settings expire unless they are still announced or linked. */
   noteSeeds (addresses: readonly string[], now: number): void {
     this.seeds = new Set(addresses)
     this.noteNamed(addresses, now)
   }
 
-  /** Takes the addresses that a control process has named. */
+  /** Records the addresses that a control process has announced. */
   noteNamed (addresses: readonly string[], now: number): void {
-    for (const address of addresses) this.namedAt.set(address, now)
+    for (const address of addresses) this.announcedAt.set(address, now)
   }
 
-  /** Forgets addresses, and gives them; those that are linked are kept. */
+  /** Removes and returns the addresses that have expired; linked addresses do not expire. */
   takeForgotten (linked: readonly string[], now: number): string[] {
     this.noteNamed(linked, now)
-    const isOver = ([address, at]: [string, number]) => !this.seeds.has(address) && now - at > FORGET_MS
-    const forgotten = [...this.namedAt].filter(isOver).map(([address]) => address)
-    for (const address of forgotten) this.namedAt.delete(address)
-    return forgotten
+    const isExpired = ([address, at]: [string, number]) => !this.seeds.has(address) && now - at > EXPIRY_MS
+    const expired = [...this.announcedAt].filter(isExpired).map(([address]) => address)
+    for (const address of expired) this.announcedAt.delete(address)
+    return expired
   }
 }
--- a/entry/gateway/src/control-links.ts
+++ b/entry/gateway/src/control-links.ts
@@ -1,4 +1,4 @@
-/** Links to every control process that is known: they bring the document, leases and each other's addresses. */
+/** Links to all known control processes, which send the document, the leases and the addresses of other control processes. */
 import { linkAddresses, Regions, type GatewaySettings } from '@gullwall/config.settings'
 import { GullwallError, messageOf } from '@gullwall/core.error'
 import { Dialer, type Link } from '@gullwall/transport.link'
@@ -12,21 +12,26 @@
 const MAX_BACKOFF_MS = 500
 const TIMING = { heartbeatMs: 1000, silenceMs: 2500, handshakeMs: 1000 }
 const CONFIRM_TIMEOUT_MS = 1000
-/** A grant that comes later than this after it was asked for can't be used any more, in ms. */
-const COLD_TIMEOUT_MS = 500
-/** Another control process is told of crashes when one has not answered for so long, in ms: several times a quorum's round. */
-const CRASHES_TIMEOUT_MS = 1000
-/** The first question for the newest revision is asked again soon, since a quorum may just be forming; later ones more rarely. In ms. */
+/** Timeout of a grant request, in ms. A grant that arrives later is no longer usable. */
+const GRANT_TIMEOUT_MS = 500
+/** Timeout of a crash report, in ms, before it is sent to another control process: several times a round of the quorum. */
+const CRASH_REPORT_TIMEOUT_MS = 1000
+/** Delay before the first retry of the request for the newest revision, in ms: short, since a quorum may just be forming. */
 const FIRST_CONFIRM_RETRY_MS = 25
+/** Upper limit of the delay between such retries, in ms. */
 const MAX_CONFIRM_RETRY_MS = 200
 const CONFIRM_BACKOFF_FACTOR = 1.5
-/** Without a quorum, what a single control process tells is used after this time: it may be older, but never undone later. */
+/**
+ * Without a quorum, the document of a single control process is used after this time, in ms. It may be outdated, but will not
+ * be rolled back.
+ */
 const UNCONFIRMED_AFTER_MS = 2500
 
-/** What an entry tells of its work. */
+/** The load summary that an entry sends to control. */
 export type WorkWord = Pick<MessageOf<'work'>, 'works' | 'holdings' | 'observations'>
 
-const FAREWELL: MessageOf<'work'> = { kind: 'work', works: [], holdings: [], observations: [], listens: false }
+/** Tells a control process to send no more load of the other entries. */
+const UNSUBSCRIBE: MessageOf<'work'> = { kind: 'work', works: [], holdings: [], observations: [], listens: false }
 
 export class ControlLinks {
   private readonly dialers = new Map<string, Dialer>()
@@ -35,31 +40,31 @@
   private readonly startedAt = performance.now()
   private stopped = false
   private timer: NodeJS.Timeout | undefined
-  /** The link over which this entry tells of its work and hears of the others'. */
-  private listensTo: Link | undefined
-  private readonly listening: ListeningChoice
+  /** The link over which this entry sends its load and receives the load of the other entries. */
+  private primary: Link | undefined
+  private readonly selector: ListeningChoice
   private readonly entryCount = new EntryCount()
-  /** Requests that failed. */
+  /** Number of failed requests. */
   private failures = 0
   private confirmRetryMs = FIRST_CONFIRM_RETRY_MS
 
   constructor (private readonly services: GatewayServices) {
-    this.listening = new ListeningChoice(services.settings.dataCentre, new Regions(services.settings.regions))
+    this.selector = new ListeningChoice(services.settings.dataCentre, new Regions(services.settings.regions))
   }
 
   start (): void {
     this.dialSeeds(this.services.settings)
-    void this.confirmOnce()
+    void this.confirmRevision()
   }
 
-  /** Links to the control processes that settings name. */
+  /** Dials the control processes that the settings name. */
   dialSeeds ({ seeds, linkPort }: Pick<GatewaySettings, 'seeds' | 'linkPort'>): void {
     const addresses = linkAddresses(seeds, linkPort)
     this.addresses.noteSeeds(addresses, performance.now())
     this.dialAll(addresses)
   }
 
-  /** Gives up control processes that are gone for good. */
+  /** Closes the links to control processes whose addresses have expired, and stops dialling them. */
   forgetControls (now: number): void {
     const linked = this.links().map(({ address }) => address)
     for (const address of this.addresses.takeForgotten(linked, now)) {
@@ -67,11 +72,11 @@
       if (dialer === undefined) continue
       dialer.stop()
       this.dialers.delete(address)
-      this.services.logger.info({ channel: 'link', event: 'closed', peer: address, why: 'not linked, and named by nobody any more' })
+      this.services.logger.info({ channel: 'link', event: 'closed', peer: address, why: 'not linked and no longer announced' })
     }
   }
 
-  /** The addresses that are linked or dialled. */
+  /** The addresses of control processes that are linked or being dialled. */
   get dialled (): string[] {
     return [...this.dialers.keys()]
   }
@@ -86,50 +91,61 @@
     return this.links().length
   }
 
-  /** The open link to the control process that this entry tells of its work. */
+  /** The open link to the control process with which this entry exchanges load summaries. */
   get listened (): Link | undefined {
-    return this.listensTo?.isOpen === true ? this.listensTo : undefined
+    return this.primary?.isOpen === true ? this.primary : undefined
   }
 
   /**
-   * Tells one control process what this entry has under way; false if no link is open. From then on that process tells
-   * what the others have.
+   * Sends the load of this entry to one control process, which then sends the load of the other entries in return. Returns false
+   * if no link is open.
    */
-  tellWork (word: WorkWord): boolean {
-    const chosen = this.listening.choose(this.links(), this.dialers.size, performance.now())
-    if (chosen !== this.listensTo) this.listensTo?.send(FAREWELL)
-    this.listensTo = chosen
-    return chosen?.send({ kind: 'work', ...word, listens: true }) ?? false
+  tellWork (report: WorkWord): boolean {
+    const chosen = this.selector.choose(this.links(), this.dialers.size, performance.now())
+    if (chosen !== this.primary) this.primary?.send(UNSUBSCRIBE)
+    this.primary = chosen
+    return chosen?.send({ kind: 'work', ...report, listens: true }) ?? false
   }
 
   /**
-   * Asks control for leave to send to endpoints that are cold or limited.
+   * Requests grants for endpoints that are cold or have a rate limit.
    * @throws ERR_GULLWALL_LINK_CLOSED, ERR_GULLWALL_LINK_TIMEOUT, ERR_GULLWALL_PEER_FAILED
    */
   async askGrants (wishes: GrantWish[]): Promise<Grant[]> {
-    return (await this.ask({ kind: 'coldAsk', entry: this.services.settings.box, wishes }, 'coldGranted', COLD_TIMEOUT_MS)).grants
+    return (await this.requestAny({ kind: 'coldAsk', entry: this.services.settings.box, wishes }, 'coldGranted', GRANT_TIMEOUT_MS)).grants
   }
 
   /**
-   * Tells control of crashed endpoints; a quorum has it once this resolves.
-   * @throws ERR_GULLWALL_LINK_CLOSED, ERR_GULLWALL_LINK_TIMEOUT, ERR_GULLWALL_PEER_FAILED; the same may be told again
+   * Reports crashed endpoints to control. A quorum has stored the report once this resolves.
+   * @throws ERR_GULLWALL_LINK_CLOSED, ERR_GULLWALL_LINK_TIMEOUT, ERR_GULLWALL_PEER_FAILED; the report can be sent again
    */
-  async tellCrashes (word: Omit<MessageOf<'crashes'>, 'kind'>): Promise<void> {
-    await this.ask({ kind: 'crashes', ...word }, 'done', CRASHES_TIMEOUT_MS)
+  async tellCrashes (report: Omit<MessageOf<'crashes'>, 'kind'>): Promise<void> {
+    await this.requestAny({ kind: 'crashes', ...report }, 'done', CRASH_REPORT_TIMEOUT_MS)
   }
 
-  /** Tells control of endpoints that said in an answer that they drain; who can't be reached now is told once it speaks of them. */
+  /**
+   * Reports to control the endpoints that have announced in an answer that they are draining. A control process without an open
+   * link receives the report later, when it sends a lease that contradicts it.
+   */
   tellDraining (incarnations: string[]): void {
     for (const link of this.links()) link.send({ kind: 'draining', incarnations })
   }
 
-  /** Tells control what endpoints have said of their limits; who can't be reached now is told once it speaks of them. */
+  /**
+   * Reports to control the rate limits that endpoints have advertised. A control process without an open link receives the
+   * report later, when it sends a lease that contradicts it.
+   */
   tellLimits (limits: MessageOf<'limits'>['limits']): void {
     for (const link of this.links()) link.send({ kind: 'limits', limits })
   }
 
-  /** Asks one control process; after a failure another one, since the first may be cut off from the one that leads. */
-  private async ask<Kind extends 'coldGranted' | 'done'> (message: Message, expected: Kind, timeoutMs: number): Promise<MessageOf<Kind>> {
+  /**
+   * Sends a request to one control process. After a failure the next request goes to another one, since the first may be
+   * disconnected from the leader.
+   */
+  private async requestAny<Kind extends 'coldGranted' | 'done'> (
+    message: Message, expected: Kind, timeoutMs: number
+  ): Promise<MessageOf<Kind>> {
     const links = [...new Set([this.listened, ...this.links()])].filter((link) => link !== undefined)
     const link = links[this.failures % Math.max(1, links.length)]
     if (link === undefined) throw new GullwallError('ERR_GULLWALL_LINK_CLOSED', 'no link to control', { step: message.kind })
@@ -141,7 +157,7 @@
     }
   }
 
-  /** Why this process should not take requests yet; undefined if it may. */
+  /** Returns why this process cannot serve requests yet; undefined if it can. */
   notReady (): string | undefined {
     const { view, store } = this.services
     if (view.table === undefined) return 'no document is known'
@@ -173,7 +189,7 @@
         onMessage: (link, message) => this.receive(link, message),
         onClose: (link) => {
           spreader.closed(link)
-          this.listening.forget(link)
+          this.selector.forget(link)
         }
       }))
     }
@@ -182,9 +198,9 @@
   private receive (link: Link, message: Message): void {
     const { spreader } = this.services
     if (spreader.receive(link, message)) return
-    if (message.kind === 'workSums' && link === this.listensTo) this.receiveWork(link, message)
+    if (message.kind === 'workSums' && link === this.primary) this.receiveLoad(link, message)
     if (message.kind === 'readings') this.services.workExchange.learn(message)
-    if (message.kind === 'leases') this.takeLeases(link, message.leases)
+    if (message.kind === 'leases') this.mergeLeases(link, message.leases)
     if (message.kind !== 'controls') return
     this.addresses.noteNamed(message.addresses, performance.now())
     this.forgetControls(performance.now())
@@ -192,8 +208,8 @@
     this.dialOthers(message.addresses)
   }
 
-  /** Takes leases; a process that has not heard yet that an endpoint drains, or of its limit, is told so again. */
-  private takeLeases (link: Link, leases: readonly Lease[]): void {
+  /** Merges leases. A control process that does not know yet that an endpoint is draining, or its limit, receives the report again. */
+  private mergeLeases (link: Link, leases: readonly Lease[]): void {
     this.services.view.leases.merge(leases)
     const incarnations = this.services.notices.contradicted(leases)
     if (incarnations.length > 0) link.send({ kind: 'draining', incarnations })
@@ -202,13 +218,13 @@
   }
 
   /**
-   * Links to the control processes that the first ones name. A process that has just started first takes what it needs from
-   * those of its settings: each further link costs processor time in which callers wait.
+   * Dials the control processes that others have announced. A process that has just started uses only those of its settings until
+   * it is ready, since each further link takes processor time while callers wait.
    */
   private dialOthers (addresses: readonly string[]): void {
-    const isPressed = this.notReady() !== undefined && isStartingUp(performance.now(), this.services.startedAt)
-    // Control tells its addresses again within two seconds.
-    if (!isPressed) this.dialAll(addresses)
+    const isStarting = this.notReady() !== undefined && isStartingUp(performance.now(), this.services.startedAt)
+    // Control announces its addresses again within two seconds.
+    if (!isStarting) this.dialAll(addresses)
   }
 
   private countEntries (address: string, entries: number): void {
@@ -217,14 +233,14 @@
     this.services.view.entries = this.entryCount.count(this.openCount > this.dialers.size / 2, now)
   }
 
-  private receiveWork (link: Link, message: MessageOf<'workSums'>): void {
-    this.listening.note(link, message.peers, performance.now())
+  private receiveLoad (link: Link, message: MessageOf<'workSums'>): void {
+    this.selector.note(link, message.peers, performance.now())
     this.services.workExchange.receive(message)
   }
 
-  /** Asks until a quorum has said which revision is the newest; from then on the links keep this process up to date. */
-  private async confirmOnce (): Promise<void> {
-    for (const link of this.listening.nearestFirst(this.links())) {
+  /** Repeats the request for the newest revision until a quorum has confirmed it; from then on the links keep this process up to date. */
+  private async confirmRevision (): Promise<void> {
+    for (const link of this.selector.nearestFirst(this.links())) {
       try {
         const { revision } = await link.request({ kind: 'confirm' }, 'confirmed', CONFIRM_TIMEOUT_MS)
         this.confirmedRevision = revision
@@ -235,7 +251,7 @@
       }
     }
     if (this.stopped) return
-    this.timer = setTimeout(() => { void this.confirmOnce() }, this.confirmRetryMs)
+    this.timer = setTimeout(() => { void this.confirmRevision() }, this.confirmRetryMs)
     this.confirmRetryMs = Math.min(MAX_CONFIRM_RETRY_MS, CONFIRM_BACKOFF_FACTOR * this.confirmRetryMs)
   }
 }
--- a/entry/gateway/src/deployment-view.ts
+++ b/entry/gateway/src/deployment-view.ts
@@ -1,4 +1,4 @@
-/** What this process believes of the deployment: the document in force and the endpoints that hold a lease. */
+/** The view that this process has of the deployment: the current document and the endpoints that have a lease. */
 import { Regions, type GatewaySettings } from '@gullwall/config.settings'
 import { RouteTable, type DocumentFormat } from '@gullwall/config.document'
 import { type RevisionStore } from '@gullwall/config.spread'
@@ -16,45 +16,47 @@
   connections: Connections
 }
 
-/** Told of an endpoint that has named another limit, or none any more, and of one that is gone. */
+/** Receives changes of the rate limits that endpoints advertise, and the endpoints that are gone. */
 export interface LimitListener {
   note: (lease: HeldLease) => void
   forget: (incarnation: string) => void
 }
 
-/** How often endpoints that are gone are forgotten, in ms. */
+/** Interval at which endpoints that are gone are removed, in ms. */
 const SWEEP_MS = 1000
-/** So many endpoints without work are looked at in one turn: all of a small fleet, and 12,000 in 47 turns of 60 ms. */
-const TURN_ENDPOINTS = 256
+/** Number of idle endpoints that are checked in one tick: 12,000 endpoints take 47 ticks of 60 ms. */
+const SCAN_SIZE = 256
 
-/** An endpoint that is looked at in this turn, and for how many turns it stands. */
+/** An endpoint to check in the current tick, and the number of ticks from one check to the next. */
 export interface TurnOf {
   endpoint: EndpointState
   turns: number
 }
 
-/** A request that waits for a change. */
+/** A request that waits for a change; those of lower rank are woken first. */
 interface Waiter {
   rank: number
   done: () => void
 }
 
 export class DeploymentView {
-  /** The document in force; none before the first. */
+  /** The routes of the current document; undefined before the first document. */
   table: RouteTable | undefined
-  /** How many entries share the deployment's budgets, as control counts them. */
+  /** Number of entries that share the budgets of the deployment, as counted by control. */
   entries = 1
   readonly leases: LeaseTable
-  /** Engines that are kept free of long reads. */
+  /** Engines that are kept free of long prompts. */
   readonly reserved = new ReservedEngines()
   private readonly regions: Regions
+  /** When the current document was applied, by the monotonic clock. */
   private documentAt = -Infinity
-  /** What a choice looks up. */
+  /** The endpoints by service and by state, for the choice of an endpoint. */
   readonly index = new EndpointIndex()
   private readonly endpoints = new Map<string, EndpointState>()
-  /** Endpoints without a lease, or whose lease is gone: they are forgotten once nothing runs there. */
-  private readonly leaving = new Set<string>()
-  private rotation: Iterator<EndpointState> | undefined
+  /** Incarnations without a lease, or whose lease is gone; they are removed once they have no requests in flight. */
+  private readonly gone = new Set<string>()
+  /** Position of the scan over all endpoints. */
+  private scan: Iterator<EndpointState> | undefined
   private readonly waiters = new Set<Waiter>()
   private timer: NodeJS.Timeout | undefined
   private limitListener: LimitListener | undefined
@@ -65,12 +67,12 @@
       logger: options.logger,
       onChange: (changed) => this.leasesChanged(changed),
       onLimit: (lease) => this.limitListener?.note(lease),
-      onTouched: (incarnation) => this.noteUsable(incarnation)
+      onTouched: (incarnation) => this.updateUsable(incarnation)
     })
     options.store.onChange(() => this.documentChanged())
   }
 
-  /** Sets who is told of limits. */
+  /** Sets the listener for changes of rate limits. */
   onLimits (listener: LimitListener): void {
     this.limitListener = listener
   }
@@ -85,17 +87,17 @@
     clearInterval(this.timer)
   }
 
-  /** The endpoints of a service that take new work, in the order in which they became known. */
+  /** Returns the endpoints of a service that accept requests, in the order in which they became known. */
   usable (service: string): readonly EndpointState[] {
     return this.pool(service).members.items
   }
 
-  /** The same, for a choice that can't look at each of them. */
+  /** Returns the same endpoints as a pool, for a choice that cannot check each of them. */
   pool (service: string): EndpointPool {
     return this.index.pool(service)
   }
 
-  /** Reserves engines anew in the data centres that may have work, from what runs now; called at even intervals. */
+  /** Updates the reserved engines from the requests in flight, within the data centres that may receive requests. Called at each tick. */
   reserveEngines (mayGoTo: (dataCentre: string) => boolean): void {
     for (const { name, engine } of this.table?.document.services ?? []) {
       if (engine === undefined) continue
@@ -103,37 +105,37 @@
     }
   }
 
-  /** Endpoints with work of this entry, or of which there is something to tell. */
+  /** Returns the endpoints that have requests of this entry in flight, or whose state is still to be reported. */
   busy (): ReadonlySet<EndpointState> {
     return this.index.busy
   }
 
-  /** The endpoints to look at in this turn: those with work of this entry, and some of the others, each in its time. */
+  /** Returns the endpoints to check in this tick: all busy ones, and the next batch of the others. */
   nextTurn (now: number): TurnOf[] {
     this.index.settle(now)
     const { busy } = this.index
-    const turns = Math.max(1, Math.ceil(this.endpoints.size / TURN_ENDPOINTS))
-    const others = this.nextOthers(Math.min(TURN_ENDPOINTS, this.endpoints.size)).filter((endpoint) => !busy.has(endpoint))
+    const turns = Math.max(1, Math.ceil(this.endpoints.size / SCAN_SIZE))
+    const others = this.nextOthers(Math.min(SCAN_SIZE, this.endpoints.size)).filter((endpoint) => !busy.has(endpoint))
     return [...[...busy].map((endpoint) => ({ endpoint, turns: 1 })), ...others.map((endpoint) => ({ endpoint, turns }))]
   }
 
   private nextOthers (count: number): EndpointState[] {
     const others: EndpointState[] = []
     while (others.length < count) {
-      this.rotation ??= this.endpoints.values()
-      const { done, value } = this.rotation.next()
+      this.scan ??= this.endpoints.values()
+      const { done, value } = this.scan.next()
       if (done !== true) others.push(value)
-      else this.rotation = undefined
+      else this.scan = undefined
     }
     return others
   }
 
-  /** Whether an endpoint takes new work now, as far as this process knows. */
+  /** Whether an endpoint accepts requests, as far as this process knows. */
   takesWork (incarnation: string): boolean {
     return this.endpoints.get(incarnation)?.hasEnded === false && this.leases.isUsable(incarnation)
   }
 
-  /** Every endpoint with work or a lease; not for what happens with each request or turn, since it is made anew. */
+  /** Returns every endpoint that has a lease or requests in flight. Copies the list, so call it neither per request nor per tick. */
   all (): EndpointState[] {
     return [...this.endpoints.values()]
   }
@@ -146,18 +148,18 @@
     return this.endpoints.size
   }
 
-  /** How old this process's word of an endpoint is, in ms. */
+  /** The age of the last report on an endpoint, in ms; -1 if it has no lease. */
   leaseAgeMs (incarnation: string): number {
     const lease = this.leases.get(incarnation)
     return lease === undefined ? -1 : Math.round(performance.now() - lease.heardAt)
   }
 
-  /** How long the document in force has been in force here, in ms. */
+  /** The time since the current document was applied, in ms. */
   get documentAgeMs (): number {
     return Math.round(performance.now() - this.documentAt)
   }
 
-  /** Resolves at the next change, or when the time has passed; of those who wait, the ones of lower rank look first. */
+  /** Resolves at the next change or after the given time. At a change, waiters of lower rank are woken first. */
   async changeWithin (ms: number, rank = -Infinity): Promise<void> {
     await new Promise<void>((resolve) => {
       const done = () => {
@@ -178,8 +180,8 @@
     const stored = JSON.parse(text) as StoredDocument
     if (this.table !== undefined && stored.version <= this.table.version) return
     format.parse(stored.text).caseOf({
-      Left: (mistakes) => {
-        const why = `version ${stored.version} can't be read: ${mistakes[0]?.keyPath ?? ''} ${mistakes[0]?.found ?? ''}`
+      Left: (errors) => {
+        const why = `version ${stored.version} cannot be read: ${errors[0]?.keyPath ?? ''} ${errors[0]?.found ?? ''}`
         logger.error({ channel: 'configuration', event: 'ignored', revision: store.revision, why })
       },
       Right: (document) => {
@@ -187,8 +189,8 @@
         this.table = new RouteTable({ ...document, version: stored.version })
         this.reserved.keepOnly({ routes: namesOf(document.routes), services: namesOf(document.services) })
         this.documentAt = performance.now()
-        this.noteMemory()
-        const why = `document version ${stored.version}, before ${before ?? 'none'}, ${document.routes.length} routes`
+        this.updateMemory()
+        const why = `document version ${stored.version}, previous version ${before ?? 'none'}, ${document.routes.length} routes`
         logger.info({ channel: 'configuration', event: 'applied', revision: store.revision, why })
       }
     })
@@ -201,23 +203,23 @@
       const known = this.endpoints.get(lease.incarnation)
       if (known === undefined) this.endpoints.set(lease.incarnation, new EndpointState(lease, this.memoryTokens(lease.service), this.index))
       else known.description = lease
-      this.noteUsable(lease.incarnation)
+      this.updateUsable(lease.incarnation)
     }
     this.wake()
   }
 
-  private noteUsable (incarnation: string): void {
+  private updateUsable (incarnation: string): void {
     const endpoint = this.endpoints.get(incarnation)
     if (endpoint === undefined) return
     this.index.setUsable(endpoint, this.takesWork(incarnation))
     const isGone = (this.leases.get(incarnation)?.state ?? 'gone') === 'gone'
     if (isGone) this.limitListener?.forget(incarnation)
-    if (isGone) this.leaving.add(incarnation)
-    else this.leaving.delete(incarnation)
+    if (isGone) this.gone.add(incarnation)
+    else this.gone.delete(incarnation)
   }
 
-  /** Leases may come before the document that says how much memory engines have. */
-  private noteMemory (): void {
+  /** Sets the memory of engines from the document, since leases may arrive before it. */
+  private updateMemory (): void {
     for (const endpoint of this.endpoints.values()) {
       endpoint.memoryTokens = this.memoryTokens(endpoint.description.service) ?? endpoint.memoryTokens
     }
@@ -227,19 +229,19 @@
     return this.table?.service(service)?.engine?.memoryTokens
   }
 
-  /** Forgets endpoints that are gone and have no work left; called at even intervals. */
+  /** Removes endpoints that are gone and have no requests in flight. */
   forgetGone (): void {
-    for (const incarnation of this.leaving) {
+    for (const incarnation of this.gone) {
       const endpoint = this.endpoints.get(incarnation)
       if (endpoint === undefined || endpoint.inFlight > 0) continue
-      this.leaving.delete(incarnation)
+      this.gone.delete(incarnation)
       this.endpoints.delete(incarnation)
       this.index.forget(endpoint)
       this.options.connections.forget(incarnation)
     }
   }
 
-  /** Has whoever waits for a change look again. */
+  /** Wakes all requests that wait for a change, those of lower rank first. */
   wake (): void {
     if (this.waiters.size === 0) return
     for (const { done } of [...this.waiters].sort((left, right) => left.rank - right.rank)) done()
--- a/entry/gateway/src/dialect.ts
+++ b/entry/gateway/src/dialect.ts
@@ -1,89 +1,91 @@
-/** The headers that carry meaning between callers, this process and endpoints. An adapter brings other names. */
+/** The headers through which callers, this process and endpoints exchange information. An adapter can use other names. */
 import { type Notices } from '@gullwall/endpoint.notices'
 import { type OutputWord, type PromptPart } from '@gullwall/routing.balancer'
 
 /** Headers with lower-case names. */
 export type Headers = Record<string, string | string[] | undefined>
 
-/** What a caller says of its request. */
+/** What the headers of a caller's request state. */
 export interface CallHead {
   requestId: string
-  /** How long the caller waits from now on, in ms. */
+  /** How long the caller waits for the answer, in ms; undefined if it does not say. */
   waitMs: number | undefined
-  /** Where a stream is to go on. */
+  /** The id of the last event that the caller has received, if it resumes a stream. */
   lastEventId: string | undefined
   prompt: readonly PromptPart[]
-  /** What the caller says of the length of its answer. */
+  /** What the caller states about the length of the answer. */
   output?: OutputWord | undefined
+  /** The API key. */
   key: string | undefined
 }
 
-/** What an endpoint is told besides what the caller sent. */
+/** What the endpoint receives in addition to the caller's headers. */
 export interface AttemptFacts {
-  /** The start of the endpoint that is meant; any other refuses. */
+  /** The incarnation of the endpoint; any other incarnation refuses the request. */
   incarnation: string
+  /** The time until the deadline of the request, in ms. */
   remainingMs: number
-  /** The organisation of the key, if one was needed. */
+  /** The organisation of the key, if the route requires one. */
   organisation: string | undefined
-  /** In which order the endpoint takes what it has; 0 goes first. */
+  /** The order in which the endpoint processes its requests; 0 is first. */
   urgency: number
   lastEventId: string | undefined
-  /** The address of another endpoint that keeps more of the prompt, for the endpoint to copy it from. */
+  /** The address of another endpoint that has more of the prompt cached, from which the endpoint can copy it. */
   prefixSource: string | undefined
 }
 
-/** What the head of an endpoint's answer says. */
+/** What the status and headers of an endpoint's answer state. */
 export interface AnswerHead {
   requestId: string | undefined
-  /** Whether it is truly an answer of the service. */
+  /** Whether the answer comes from the service itself. */
   isSigned: boolean
-  /** Whether the endpoint says that it has not run the request. */
+  /** Whether the endpoint states that it has not run the request. */
   isNotRun: boolean
-  /** What the endpoint says of itself. */
+  /** What the endpoint states about itself. */
   notices: Notices
 }
 
 export interface CallDialect {
   readCall (headers: Headers): CallHead
-  /** Gives the headers for the endpoint, from the caller's as they came (name, value, name, value and so on). */
+  /** Returns the headers for the endpoint from the caller's. Both lists alternate names and values. */
   attemptHeaders (rawHeaders: readonly string[], facts: AttemptFacts): string[]
   readAnswer (status: number, headers: Headers): AnswerHead
 }
 
-/** Headers that concern one connection only. */
+/** Headers that apply to a single connection. */
 const HOP_BY_HOP = new Set([
   'connection', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'proxy-connection', 'te', 'trailer', 'transfer-encoding', 'upgrade',
   'content-length', 'expect'
 ])
 
-/** Which of a caller's headers an endpoint gets; names in lower case. */
+/** Which of the caller's headers are forwarded to an endpoint; names are in lower case. */
 export interface HeaderRules {
-  /** Never passed on, in any spelling that some server takes for the same name. */
+  /** Never forwarded, in any spelling that a server may treat as the same name. */
   dropped: ReadonlySet<string>
-  /** Passed on also where the caller's Connection header names them, so that a caller can't take them away. */
+  /** Forwarded even if the caller's Connection header names them, so that a caller cannot remove them. */
   kept: ReadonlySet<string>
 }
 
-/** The pairs that may be passed on, in their order. */
+/** Returns the headers that are forwarded, in their original order. */
 export function passedOn (rawHeaders: readonly string[], { dropped, kept }: HeaderRules): string[] {
-  const named = connectionOptions(rawHeaders)
-  const passed: string[] = []
+  const hopByHop = connectionOptions(rawHeaders)
+  const forwarded: string[] = []
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     const name = rawHeaders[index] ?? ''
     const canonical = canonicalName(name)
     if (HOP_BY_HOP.has(canonical) || dropped.has(canonical)) continue
-    if (named.has(name.toLowerCase()) && !kept.has(canonical)) continue
-    passed.push(name, rawHeaders[index + 1] ?? '')
+    if (hopByHop.has(name.toLowerCase()) && !kept.has(canonical)) continue
+    forwarded.push(name, rawHeaders[index + 1] ?? '')
   }
-  return passed
+  return forwarded
 }
 
-/** Some servers take an underscore in a header's name for a hyphen. */
+/** Replaces underscores, which some servers treat as hyphens in header names. */
 function canonicalName (name: string): string {
   return name.trim().toLowerCase().replaceAll('_', '-')
 }
 
-/** The headers that a Connection header names. */
+/** Returns the names of the headers that the Connection headers list as hop-by-hop. */
 function connectionOptions (rawHeaders: readonly string[]): Set<string> {
   const options = new Set<string>()
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
@@ -93,13 +95,13 @@
   return options
 }
 
-/** One value of a header. */
+/** Returns the first value of a header. */
 export function headerOf (headers: Headers, name: string): string | undefined {
   const value = headers[name]
   return Array.isArray(value) ? value[0] : value
 }
 
-/** A number above 0; undefined if it is missing or none. */
+/** Parses a positive number; undefined if it is missing or invalid. */
 export function countOf (text: string | undefined): number | undefined {
   const value = Number(text)
   return Number.isFinite(value) && value > 0 ? value : undefined
--- a/entry/gateway/src/entry-count.ts
+++ b/entry/gateway/src/entry-count.ts
@@ -1,37 +1,39 @@
 /**
- * How many entries share the deployment's budgets. Each control process counts those that are linked to it; one that has just
- * started or is cut off counts too few, and an entry that believed it would take too large a part of each budget.
+ * Counts the entries that share the budgets of the deployment. Each control process counts the entries that are linked to it.
+ * A control process that has just started or is disconnected counts too few, and with its count an entry would take too large a
+ * share of each budget.
  */
 
-/** A count that was not told again for so long counts no more, in ms; the longest window of a budget that is set (10 s). */
+/** A count that is not reported again within this time expires, in ms: as long as the longest window of a budget. */
 const VALID_MS = 10_000
 
-interface Word {
+interface Count {
   entries: number
-  toldAt: number
+  reportedAt: number
 }
 
 export class EntryCount {
-  private readonly words = new Map<string, Word>()
+  /** By the address of the control process. */
+  private readonly counts = new Map<string, Count>()
 
-  /** Takes the count of the control process at an address. */
+  /** Records the count that the control process at an address has reported. */
   note (address: string, entries: number, now: number): void {
-    const known = this.words.get(address)
-    // A lower count replaces a higher one only once that is old: entries that link anew are missing for a moment.
-    if (known !== undefined && known.entries > entries && now - known.toldAt <= VALID_MS) return
-    this.words.set(address, { entries, toldAt: now })
+    const known = this.counts.get(address)
+    // A lower count does not replace a higher one before that expires: entries that reconnect are missing for a moment.
+    if (known !== undefined && known.entries > entries && now - known.reportedAt <= VALID_MS) return
+    this.counts.set(address, { entries, reportedAt: now })
   }
 
   /**
-   * The highest count that holds.
-   * @param hearsMost whether most control processes are linked; while they are not, nothing that was told is forgotten
+   * Returns the highest count that has not expired.
+   * @param hasMajority whether most control processes are linked; counts do not expire while they are not
    */
-  count (hearsMost: boolean, now: number): number {
-    if (hearsMost) {
-      for (const [address, { toldAt }] of this.words) {
-        if (now - toldAt > VALID_MS) this.words.delete(address)
+  count (hasMajority: boolean, now: number): number {
+    if (hasMajority) {
+      for (const [address, { reportedAt }] of this.counts) {
+        if (now - reportedAt > VALID_MS) this.counts.delete(address)
       }
     }
-    return Math.max(1, ...[...this.words.values()].map(({ entries }) => entries))
+    return Math.max(1, ...[...this.counts.values()].map(({ entries }) => entries))
   }
 }
--- a/entry/gateway/src/evacuated-places.ts
+++ b/entry/gateway/src/evacuated-places.ts
@@ -1,4 +1,4 @@
-/** Which data centres are evacuated, as the records in force here say; nothing is sent to their endpoints. */
+/** The data centres that are evacuated according to the current records; their endpoints receive no requests. */
 import { type RevisionStore } from '@gullwall/config.spread'
 import { evacuationsIn, type StoredEvacuation } from '@gullwall/control.state'
 import { type Logger } from '@gullwall/core.logger'
@@ -7,12 +7,13 @@
 export interface EvacuatedPlacesOptions {
   store: RevisionStore
   logger: Logger
-  /** Has requests that wait for an endpoint look again. */
+  /** Wakes the requests that wait for an endpoint. */
   view: { wake: () => void }
 }
 
 export class EvacuatedPlaces {
-  private known = new Map<string, StoredEvacuation>()
+  /** By data centre. */
+  private evacuations = new Map<string, StoredEvacuation>()
   private hasRecords = false
   private readonly listeners = new Set<(dataCentre: string) => void>()
 
@@ -22,50 +23,51 @@
   }
 
   isEvacuated (dataCentre: string): boolean {
-    return this.known.get(dataCentre)?.isEvacuated === true
+    return this.evacuations.get(dataCentre)?.isEvacuated === true
   }
 
-  /** The data centres that are evacuated. */
+  /** The names of the data centres that are evacuated. */
   get evacuated (): string[] {
-    return [...this.known.keys()].filter((dataCentre) => this.isEvacuated(dataCentre))
+    return [...this.evacuations.keys()].filter((dataCentre) => this.isEvacuated(dataCentre))
   }
 
   /**
-   * Calls a listener for each data centre whose evacuation is withdrawn, also where both orders arrive together because this
-   * process was cut off; what was withdrawn before it had any records is not told. Gives the call that ends it.
+   * Adds a listener that is called with each data centre whose evacuation is withdrawn, even if this process was disconnected and
+   * receives both orders together. Withdrawals from before its first records are not reported. Returns a function that removes
+   * the listener.
    */
   onWithdrawn (listener: (dataCentre: string) => void): () => void {
     this.listeners.add(listener)
     return () => { this.listeners.delete(listener) }
   }
 
-  /** The rule of eligibility. */
+  /** Excludes endpoints in evacuated data centres. */
   readonly rule: PlaceRule = (dataCentre) => this.isEvacuated(dataCentre) ? `data centre ${dataCentre} is evacuated` : undefined
 
   private recordsChanged (): void {
     const { store, view } = this.options
     if (store.revision === 0) return
-    const before = this.known
+    const previous = this.evacuations
     const hadRecords = this.hasRecords
-    this.known = evacuationsIn(store.records)
+    this.evacuations = evacuationsIn(store.records)
     this.hasRecords = true
-    let isNews = false
-    for (const [dataCentre, evacuation] of this.known) {
-      const earlier = before.get(dataCentre)
+    let hasChanged = false
+    for (const [dataCentre, evacuation] of this.evacuations) {
+      const earlier = previous.get(dataCentre)
       if (earlier?.epoch === evacuation.epoch) continue
-      isNews = true
+      hasChanged = true
       this.log(dataCentre, evacuation)
-      if (hadRecords && evacuation.withdrawals > (earlier?.withdrawals ?? 0)) this.tellWithdrawn(dataCentre)
+      if (hadRecords && evacuation.withdrawals > (earlier?.withdrawals ?? 0)) this.notifyWithdrawn(dataCentre)
     }
-    if (isNews) view.wake()
+    if (hasChanged) view.wake()
   }
 
-  private tellWithdrawn (dataCentre: string): void {
+  private notifyWithdrawn (dataCentre: string): void {
     for (const listener of [...this.listeners]) listener(dataCentre)
   }
 
   private log (dataCentre: string, { isEvacuated, epoch }: StoredEvacuation): void {
-    const why = isEvacuated ? 'evacuated: nothing more is sent there' : 'withdrawn: endpoints there may have requests again'
+    const why = isEvacuated ? 'evacuated: its endpoints receive no more requests' : 'withdrawn: its endpoints receive requests again'
     this.options.logger.info({ channel: 'evacuation', event: 'applied', dataCentre, epoch, why })
   }
 }
--- a/entry/gateway/src/index.ts
+++ b/entry/gateway/src/index.ts
@@ -1,4 +1,4 @@
-/** The gateway: an entry that reaches endpoints directly, put together from its services. */
+/** The gateway: an entry that connects to endpoints directly. This module registers its services. */
 import { nativeFormat, type DocumentFormat } from '@gullwall/config.document'
 import { type GatewaySettings } from '@gullwall/config.settings'
 import { RevisionStore, Spreader } from '@gullwall/config.spread'
@@ -39,7 +39,7 @@
 export interface GatewayServices {
   settings: GatewaySettings
   startId: string
-  /** When this process was put together, by the monotonic clock. */
+  /** When this process created its services, by the monotonic clock. */
   startedAt: number
   logger: Logger
   registry: Registry
@@ -69,15 +69,15 @@
 }
 
 export interface GatewayOptions {
-  /** Where log lines go. */
+  /** Writes a log line. */
   write?: (line: string) => void
-  /** How callers and endpoints speak; the product's own headers unless an adapter brings others. */
+  /** The headers that callers and endpoints use; gullwall's own headers by default. */
   dialect?: CallDialect
   format?: DocumentFormat
   weights?: Partial<ChoiceWeights>
 }
 
-/** Builds a gateway; nothing runs before its kernel is started. */
+/** Creates a gateway; nothing runs until its kernel is started. */
 export function createGateway (settings: GatewaySettings, options: GatewayOptions = {}): Kernel<GatewayServices> {
   return new Kernel<GatewayServices>({ stopDeadlineMs: settings.graceMs })
     .value('settings', settings)
@@ -118,7 +118,7 @@
 
 function createEligibility (services: GatewayServices): EligibilityRules {
   const { evacuatedPlaces, coldEngines, limits, notices } = services
-  // What an engine said of itself before its data centre was emptied may not hold any more.
+  // What an endpoint reported before its data centre was evacuated may no longer be true.
   evacuatedPlaces.onWithdrawn((dataCentre) => coldEngines.assumeCold(dataCentre))
   return { places: [evacuatedPlaces.rule, allowedRegions(services)], endpoints: [notices.rule, coldEngines.rule, limits.rule] }
 }
--- a/entry/gateway/src/listening-choice.ts
+++ b/entry/gateway/src/listening-choice.ts
@@ -1,18 +1,19 @@
 /**
- * Which control process an entry tells its work and hears the others' from. One that is cut off from its peers knows only
- * the entries that tell it, so that all who hear from it would send to the same engines.
+ * Selects the control process with which an entry exchanges load summaries. A control process that is disconnected from its
+ * peers knows the load of its own entries only, so these entries would all choose the same endpoints.
  */
 import { Regions, type Distance } from '@gullwall/config.settings'
 import { type Link } from '@gullwall/transport.link'
 
-/** What a control process said of its peers counts for so long, in ms: the cut may have healed. */
+/** The number of peers that a control process reports expires after this time, in ms: the connection may have been restored. */
 const VALID_MS = 3000
-/** From near to far. */
+/** From the nearest to the farthest. */
 const DISTANCES: readonly Distance[] = ['same data centre', 'same region', 'other region']
 
+/** The number of peers whose load a control process receives. */
 interface Coverage {
   peers: number
-  toldAt: number
+  reportedAt: number
 }
 
 export class ListeningChoice {
@@ -20,31 +21,32 @@
 
   constructor (private readonly dataCentre: string, private readonly regions = new Regions()) {}
 
-  /** Notes from how many of its peers a control process hears. */
+  /** Records from how many of its peers a control process receives load summaries. */
   note (link: Link, peers: number, now: number): void {
-    this.coverage.set(link, { peers, toldAt: now })
+    this.coverage.set(link, { peers, reportedAt: now })
   }
 
   forget (link: Link): void {
     this.coverage.delete(link)
   }
 
-  /** The link to one that is not known to be cut off from most of its peers; among those, one in this data centre, or in this region. */
+  /** Selects the nearest link, by preference to a control process that is not known to be disconnected from most of its peers. */
   choose (links: readonly Link[], controls: number, now: number): Link | undefined {
-    const sound = links.filter((link) => !this.isCutOff(link, controls, now))
-    const able = sound.length > 0 ? sound : links
-    return this.nearestFirst(able)[0]
+    const connected = links.filter((link) => !this.isDisconnected(link, controls, now))
+    const candidates = connected.length > 0 ? connected : links
+    return this.nearestFirst(candidates)[0]
   }
 
-  /** Links in the order of their distance; those of equal distance as they were. */
+  /** Sorts links by distance; links at equal distance keep their order. */
   nearestFirst (links: readonly Link[]): Link[] {
-    const rankOf = ({ peer }: Link) => DISTANCES.indexOf(this.regions.distance(this.dataCentre, peer.dataCentre))
-    return [...links].sort((left, right) => rankOf(left) - rankOf(right))
+    const distanceRank = ({ peer }: Link) => DISTANCES.indexOf(this.regions.distance(this.dataCentre, peer.dataCentre))
+    return [...links].sort((left, right) => distanceRank(left) - distanceRank(right))
   }
 
-  private isCutOff (link: Link, controls: number, now: number): boolean {
+  /** Whether a control process is known to receive load summaries from less than a majority. */
+  private isDisconnected (link: Link, controls: number, now: number): boolean {
     const known = this.coverage.get(link)
-    if (known === undefined || now - known.toldAt > VALID_MS) return false
+    if (known === undefined || now - known.reportedAt > VALID_MS) return false
     return known.peers + 1 <= controls / 2
   }
 }
--- a/entry/gateway/src/main.ts
+++ b/entry/gateway/src/main.ts
@@ -1,4 +1,4 @@
-/** `gullwall-gateway`: takes callers' requests and sends them to endpoints directly. */
+/** `gullwall-gateway`: accepts callers' requests and sends them to endpoints directly. */
 import { command, option, run, string } from 'cmd-ts'
 import { assertRuntime, fail, runProgram } from '@gullwall/core.kernel/program'
 import { gatewaySettingsSchema, readSettings } from '@gullwall/config.settings'
@@ -6,7 +6,7 @@
 
 const program = command({
   name: 'gullwall-gateway',
-  description: 'Takes callers\' requests and sends them to endpoints directly.\nExample: gullwall-gateway --settings gateway.toml',
+  description: 'Accepts callers\' requests and sends them to endpoints directly.\nExample: gullwall-gateway --settings gateway.toml',
   args: { settings: option({ type: string, long: 'settings', description: 'TOML file with the settings of this process' }) },
   handler: async ({ settings }) => {
     assertRuntime()
--- a/entry/gateway/src/metrics.ts
+++ b/entry/gateway/src/metrics.ts
@@ -1,4 +1,4 @@
-/** The figures of a gateway. */
+/** The metrics of a gateway. */
 import { droppedLines } from '@gullwall/core.logger'
 import { counter, durationHistogram, gauge, type Counter, type Histogram, type Registry } from '@gullwall/core.metrics'
 import { type GatewayServices } from './index.ts'
@@ -25,7 +25,7 @@
   }
 }
 
-/** Gauges of what this process believes, read when they are asked for. */
+/** Registers gauges for the state of this process, which are read when the metrics are scraped. */
 export function beliefGauges (registry: Registry, services: GatewayServices): void {
   const { view, controlLinks, budget, evacuatedPlaces, crossings, coldEngines, limits, quarantine, notices } = services
   const add = (name: string, help: string, value: () => number) => {
--- a/entry/gateway/src/native-dialect.ts
+++ b/entry/gateway/src/native-dialect.ts
@@ -1,44 +1,44 @@
-/** The product's own headers. */
+/** gullwall's own headers. */
 import { readNotices } from '@gullwall/endpoint.notices'
 import { countOf, headerOf, passedOn, type CallDialect, type HeaderRules } from './dialect.ts'
 
 const REQUEST_ID = 'x-gullwall-request-id'
-const WAIT = 'x-gullwall-wait-ms'
-const PROMPT = 'x-gullwall-prompt-parts'
+const WAIT_MS = 'x-gullwall-wait-ms'
+const PROMPT_PARTS = 'x-gullwall-prompt-parts'
 const LENGTH_HINT = 'x-gullwall-length-hint'
-const MOST_TOKENS = 'x-gullwall-most-tokens'
+const MAX_TOKENS = 'x-gullwall-most-tokens'
 const INCARNATION = 'x-gullwall-incarnation'
 const ORGANISATION = 'x-gullwall-organisation'
 const URGENCY = 'x-gullwall-urgency'
 const PREFIX_SOURCE = 'x-gullwall-prefix-source'
 const RAN = 'x-gullwall-ran'
-const LAST_EVENT = 'last-event-id'
+const LAST_EVENT_ID = 'last-event-id'
 
 const HEADER_RULES: HeaderRules = {
-  dropped: new Set([WAIT, ORGANISATION, URGENCY, INCARNATION, LAST_EVENT, PREFIX_SOURCE, 'authorization']),
-  kept: new Set([REQUEST_ID, PROMPT, 'host', 'content-type'])
+  dropped: new Set([WAIT_MS, ORGANISATION, URGENCY, INCARNATION, LAST_EVENT_ID, PREFIX_SOURCE, 'authorization']),
+  kept: new Set([REQUEST_ID, PROMPT_PARTS, 'host', 'content-type'])
 }
 
 export const nativeDialect: CallDialect = {
   readCall: (headers) => {
-    const wait = Number(headerOf(headers, WAIT))
+    const waitMs = Number(headerOf(headers, WAIT_MS))
     return {
       requestId: headerOf(headers, REQUEST_ID) ?? '',
-      waitMs: Number.isFinite(wait) && wait > 0 ? wait : undefined,
-      lastEventId: headerOf(headers, LAST_EVENT),
-      prompt: (headerOf(headers, PROMPT) ?? '').split(',').filter(Boolean).map((part) => {
+      waitMs: Number.isFinite(waitMs) && waitMs > 0 ? waitMs : undefined,
+      lastEventId: headerOf(headers, LAST_EVENT_ID),
+      prompt: (headerOf(headers, PROMPT_PARTS) ?? '').split(',').filter(Boolean).map((part) => {
         const [id = '', tokens = '0'] = part.split(':')
         return { id, tokens: Number(tokens) }
       }),
-      output: { hint: countOf(headerOf(headers, LENGTH_HINT)), most: countOf(headerOf(headers, MOST_TOKENS)) },
+      output: { hint: countOf(headerOf(headers, LENGTH_HINT)), most: countOf(headerOf(headers, MAX_TOKENS)) },
       key: /^Bearer\s+(\S+)$/i.exec(headerOf(headers, 'authorization') ?? '')?.[1]
     }
   },
   attemptHeaders: (rawHeaders, facts) => {
     const headers = passedOn(rawHeaders, HEADER_RULES)
-    headers.push(WAIT, String(facts.remainingMs), INCARNATION, facts.incarnation, URGENCY, String(facts.urgency))
+    headers.push(WAIT_MS, String(facts.remainingMs), INCARNATION, facts.incarnation, URGENCY, String(facts.urgency))
     if (facts.organisation !== undefined) headers.push(ORGANISATION, facts.organisation)
-    if (facts.lastEventId !== undefined) headers.push(LAST_EVENT, facts.lastEventId)
+    if (facts.lastEventId !== undefined) headers.push(LAST_EVENT_ID, facts.lastEventId)
     if (facts.prefixSource !== undefined) headers.push(PREFIX_SOURCE, facts.prefixSource)
     return headers
   },
--- a/entry/gateway/src/region-crossings.ts
+++ b/entry/gateway/src/region-crossings.ts
@@ -1,13 +1,14 @@
-/** The requests that this gateway sends to other regions: what each would cost, and what crosses. */
+/** The traffic that this gateway sends to other regions: the cost of each request, and the requests and bytes sent. */
 import { Regions, type GatewaySettings } from '@gullwall/config.settings'
 import { RegionLink, type Crossing, type EndpointState } from '@gullwall/routing.balancer'
 import { type Call } from './call.ts'
 import { type GatewayMetrics } from './metrics.ts'
 
-/** Head lines of a request and of its answer. */
+/** The headers of a request and of its answer together. */
 const HEAD_BYTES = 800
-/** What an answer is taken for until one of its route was seen. */
-const UNSEEN_ANSWER_BYTES = 1000
+/** Assumed size of an answer until its route has had one. */
+const DEFAULT_ANSWER_BYTES = 1000
+/** Weight of the latest answer in the moving mean of its route. */
 const ANSWER_WEIGHT = 0.1
 
 export interface RegionCrossingsOptions {
@@ -16,15 +17,15 @@
   metrics: Pick<GatewayMetrics, 'leavingRequests' | 'leavingBytes'>
 }
 
-/** Of so many routes a mean is kept; the one that was met first gives way: names come and go with documents. */
+/** The maximum number of routes with a mean. Beyond it the route that was added first is dropped, as documents add and remove routes. */
 const MAX_ROUTES = 5000
 
 export class RegionCrossings {
   readonly regions: Regions
   readonly link: RegionLink
-  /** What was sent to other regions since the start, with the answers. */
+  /** Requests sent to other regions since the start, and their bytes including the answers. */
   readonly sent = { requests: 0, bytes: 0 }
-  /** How long the answers of each route usually are. */
+  /** The moving mean of the answer size of each route, in bytes. */
   private readonly answerBytes = new Map<string, number>()
 
   constructor (private readonly options: RegionCrossingsOptions) {
@@ -32,50 +33,50 @@
     this.link = new RegionLink({ mbitPerS: options.settings.regionLinkMbitPerS, entries: () => options.view.entries })
   }
 
-  /** What the choice must know for a request; nothing where the deployment lies in one region, which spares the sorting by region. */
+  /** Returns the region costs of a request for the choice of an endpoint; undefined if the deployment has a single region. */
   of (call: Call): Crossing | undefined {
     if (this.regions.names.size < 2) return undefined
     return { regionOf: (dataCentre) => this.regions.regionOf(dataCentre), costMs: this.link.costMs(this.expectedBytes(call)) }
   }
 
-  /** Notes that a request is sent; gives what to call with the bytes of its answer once that has ended. */
+  /** Records that a request is sent. Returns a function to call with the size of its answer in bytes once that has ended. */
   begin (call: Call, { description }: EndpointState): (answerBytes: number) => void {
     const { metrics } = this.options
-    const expected = this.expectedBytes(call)
-    const isLeaving = this.isElsewhere(description.dataCentre)
+    const expectedBytes = this.expectedBytes(call)
+    const isCrossRegion = this.isOtherRegion(description.dataCentre)
     const region = this.regions.regionOf(description.dataCentre)
-    if (isLeaving) {
+    if (isCrossRegion) {
       metrics.leavingRequests.inc({ region })
       this.sent.requests += 1
-      this.link.take(expected)
+      this.link.take(expectedBytes)
     }
     return (answerBytes) => {
-      if (isLeaving) {
+      if (isCrossRegion) {
         const bytes = requestBytes(call) + answerBytes
         metrics.leavingBytes.inc({ region }, bytes)
         this.sent.bytes += bytes
-        this.link.take(bytes - expected)
+        this.link.take(bytes - expectedBytes)
       }
-      this.noteAnswer(call.route.name, answerBytes)
+      this.recordAnswer(call.route.name, answerBytes)
     }
   }
 
-  /** Notes how long a connection took to be made. */
+  /** Records how long it took to connect to an endpoint in a data centre, in ms. */
   connected (dataCentre: string, tookMs: number): void {
-    if (this.isElsewhere(dataCentre)) this.link.noteRoundTrip(tookMs)
+    if (this.isOtherRegion(dataCentre)) this.link.noteRoundTrip(tookMs)
   }
 
-  private isElsewhere (dataCentre: string): boolean {
+  private isOtherRegion (dataCentre: string): boolean {
     return this.regions.distance(this.options.settings.dataCentre, dataCentre) === 'other region'
   }
 
   private expectedBytes (call: Call): number {
-    return requestBytes(call) + (this.answerBytes.get(call.route.name) ?? UNSEEN_ANSWER_BYTES)
+    return requestBytes(call) + (this.answerBytes.get(call.route.name) ?? DEFAULT_ANSWER_BYTES)
   }
 
-  private noteAnswer (route: string, bytes: number): void {
-    const known = this.answerBytes.get(route) ?? bytes
-    this.answerBytes.set(route, known + ANSWER_WEIGHT * (bytes - known))
+  private recordAnswer (route: string, bytes: number): void {
+    const mean = this.answerBytes.get(route) ?? bytes
+    this.answerBytes.set(route, mean + ANSWER_WEIGHT * (bytes - mean))
     const [oldest] = this.answerBytes.keys()
     if (this.answerBytes.size > MAX_ROUTES && oldest !== undefined) this.answerBytes.delete(oldest)
   }
--- a/entry/gateway/src/start-up.ts
+++ b/entry/gateway/src/start-up.ts
@@ -1,20 +1,20 @@
 /**
- * The time right after a start, in which the document and the leases are about to come. The balancer is told that the
- * process takes requests, and what arrives is held until they are there: a balancer that asks each second and is told "not
- * yet" would come back a second later, though most starts take a quarter of one.
+ * The start-up phase, in which the document and the leases have not arrived yet. The process already reports itself ready to the
+ * load balancer and holds the requests that arrive: a load balancer that checks readiness once a second would otherwise
+ * lose a second, although most starts take much less.
  */
 
-/** A process that has just started is ready after about so long, in ms (measured: 150 to 450); requests wait for it. */
+/** The start-up phase ends after this time, in ms: longer than a process usually takes to become ready. */
 export const START_UP_MS = 800
-/** A request waits so long at most, in ms. */
+/** The longest time for which a request is held, in ms. */
 export const MAX_HOLD_MS = 500
 
-/** Until when a request that has arrived is held for a process that is not ready, both by the monotonic clock. */
+/** Returns until when a request is held while the process is not ready. All times are in ms by the monotonic clock. */
 export function heldUntil (arrivedAt: number, startedAt: number): number {
   return Math.min(arrivedAt + MAX_HOLD_MS, startedAt + START_UP_MS)
 }
 
-/** Whether requests are held at this moment rather than refused. */
+/** Whether requests that arrive now are held rather than refused. */
 export function isStartingUp (now: number, startedAt: number): boolean {
   return now < startedAt + START_UP_MS
 }
--- a/entry/gateway/src/usage-teller.ts
+++ b/entry/gateway/src/usage-teller.ts
@@ -1,41 +1,41 @@
-/** Counts the requests that began to run, and tells control of them. */
+/** Counts the requests that began to run by organisation, and reports the counts to control. */
 import { SteadyWallClock, UsageCounter, windowAt } from '@gullwall/control.usage'
 import { type Link } from '@gullwall/transport.link'
 import { type GatewayServices } from './index.ts'
 
-/** How often new counts are told at most, in ms: what is lost with a process is what it counted since. */
-const TELL_MS = 100
+/** Interval of the reports, in ms: a process that crashes loses what it has counted since its last report. */
+const REPORT_MS = 100
 
 export class UsageTeller {
   private readonly counter = new UsageCounter()
   private readonly clock = new SteadyWallClock()
   private timer: NodeJS.Timeout | undefined
-  /** The link over which the counts were told; another one is told all of them. */
-  private toldTo: Link | undefined
+  /** The link over which the last report was sent; the first report over another link contains all counts. */
+  private lastLink: Link | undefined
 
   constructor (private readonly services: Pick<GatewayServices, 'settings' | 'controlLinks'>) {}
 
   start (): void {
-    if (this.services.settings.usageWindowMs !== undefined) this.timer = setInterval(() => this.tell(), TELL_MS)
+    if (this.services.settings.usageWindowMs !== undefined) this.timer = setInterval(() => this.report(), REPORT_MS)
   }
 
-  /** Tells what is left: requests in flight have ended by now. */
+  /** Sends the last report; requests in flight have ended by then. */
   stop (): void {
     clearInterval(this.timer)
-    if (this.services.settings.usageWindowMs !== undefined) this.tell()
+    if (this.services.settings.usageWindowMs !== undefined) this.report()
   }
 
-  /** Notes that a request began to run, at a moment of the monotonic clock. */
+  /** Records that a request began to run, at a time of the monotonic clock in ms. */
   noteBegun (organisation: string, at: number): void {
     const { usageWindowMs } = this.services.settings
     if (usageWindowMs !== undefined) this.counter.note(windowAt(this.clock.at(at), usageWindowMs), organisation)
   }
 
-  private tell (): void {
+  private report (): void {
     const link = this.services.controlLinks.listened
     if (link === undefined) return
-    const windows = link === this.toldTo ? this.counter.takeUntold() : this.counter.takeAll()
-    this.toldTo = link
+    const windows = link === this.lastLink ? this.counter.takeUntold() : this.counter.takeAll()
+    this.lastLink = link
     if (windows.length > 0) link.send({ kind: 'usage', windows })
   }
 }
--- a/entry/gateway/src/work-exchange.ts
+++ b/entry/gateway/src/work-exchange.ts
@@ -1,96 +1,97 @@
-/** Tells what this entry has under way, and keeps what the others have, as control adds it up. */
+/** Sends a summary of this entry's load to control, and stores the summed load of the other entries. */
 import { MIN_COPY_TOKENS, NO_OTHERS, sharedTokens, type EndpointState, type PromptPart } from '@gullwall/routing.balancer'
 import { type Holding, type MemoryUse, type MessageOf, type Observation, type WorkSummary } from '@gullwall/transport.messages'
 import { type GatewayServices } from './index.ts'
 
-/** How often this entry looks whether there is something to tell, in ms. */
-const LOOK_MS = 60
-/** A prompt with more tokens to read is told at once, so that others do not send theirs to the same endpoint meanwhile. */
-const TELL_AT_ONCE_TOKENS = 1500
-/** Though not more often than this, in ms. */
-const AT_ONCE_SPACING_MS = 20
-/** Also what has not changed is told again after this time, in ms: control keeps it, and tells of the others, for a while only. */
+/** Interval at which the load is checked for changes to send, in ms. */
+const TICK_MS = 60
+/** A prompt with more uncached tokens is reported at once, so that other entries do not choose the same endpoint meanwhile. */
+const LARGE_PROMPT_TOKENS = 1500
+/** Minimum interval between such immediate reports, in ms. */
+const MIN_INTERVAL_MS = 20
+/** Interval at which an unchanged load is sent again, in ms: control forgets a load, and the entry that sent it, unless it is repeated. */
 const REPEAT_MS = 1000
-/** What was heard of the others counts for so long after the last word, in ms; words come each second at least. */
+/** The load of the other entries expires this long after the last message, in ms; messages arrive at least once a second. */
 const VALID_MS = 2500
 
-/** What was sent where is kept so often at most while no control process can be told; the oldest gives way, as at the engines. */
-const MAX_UNTOLD_HOLDINGS = 1000
+/** The most sent prompts that are kept while no control process is linked; the oldest is dropped first, as in the engines' caches. */
+const MAX_UNSENT_HOLDINGS = 1000
 
 export class WorkExchange {
-  /** What the others have under way, by endpoint; also at endpoints that are not known here yet. */
+  /** The load of the other entries by incarnation, including endpoints that are not known here yet. */
   private readonly others = new Map<string, WorkSummary>()
-  private heardAt = -Infinity
+  private receivedAt = -Infinity
   private timer: NodeJS.Timeout | undefined
-  private toldText = ''
-  private toldAt = -Infinity
-  private untoldHoldings: Holding[] = []
+  private sentText = ''
+  private sentAt = -Infinity
+  /** Prompts that were sent to endpoints since the last report. */
+  private unsentHoldings: Holding[] = []
 
   constructor (private readonly services: GatewayServices) {}
 
   start (): void {
-    this.timer = setInterval(() => this.tick(), LOOK_MS)
+    this.timer = setInterval(() => this.tick(), TICK_MS)
   }
 
   stop (): void {
     clearInterval(this.timer)
   }
 
-  /** Takes what the others have under way and what they have sent. */
+  /** Receives the load of the other entries and the prompts that they have sent. */
   receive ({ whole, works, holdings }: MessageOf<'workSums'>): void {
     const { view } = this.services
     const now = performance.now()
-    this.heardAt = now
-    if (whole) this.forgetOthers()
-    for (const work of works) this.noteOthers(work)
+    this.receivedAt = now
+    if (whole) this.clearOthers()
+    for (const work of works) this.setOthers(work)
     for (const { incarnation, parts } of holdings) view.get(incarnation)?.noteKept(parts, now)
     view.wake()
   }
 
-  private noteOthers (work: WorkSummary): void {
+  private setOthers (work: WorkSummary): void {
     if (work.running + work.unread.length + work.unreachable > 0) this.others.set(work.incarnation, work)
     else this.others.delete(work.incarnation)
     const endpoint = this.services.view.get(work.incarnation)
     if (endpoint !== undefined) endpoint.others = work
   }
 
-  /** Notes that an endpoint is about to get a prompt; the other entries are told of long parts that it has not had yet. */
+  /** Records that an endpoint is about to receive a prompt; long shared parts that it has not cached are reported to other entries. */
   noteSending ({ prefixes, description }: EndpointState, prompt: readonly PromptPart[]): void {
     const shared = sharedTokens(prompt)
     if (shared < MIN_COPY_TOKENS || prefixes.cachedTokens(prompt) >= shared) return
-    this.untoldHoldings.push({ incarnation: description.incarnation, parts: prompt.slice(0, -1).map(({ id, tokens }) => ({ id, tokens })) })
-    if (this.untoldHoldings.length > MAX_UNTOLD_HOLDINGS) this.untoldHoldings.shift()
+    this.unsentHoldings.push({ incarnation: description.incarnation, parts: prompt.slice(0, -1).map(({ id, tokens }) => ({ id, tokens })) })
+    if (this.unsentHoldings.length > MAX_UNSENT_HOLDINGS) this.unsentHoldings.shift()
   }
 
-  /** Notes that a prompt was sent. */
+  /** Records that a prompt was sent; a large one is reported at once. */
   noteSent (unreadTokens: number): void {
-    if (unreadTokens > TELL_AT_ONCE_TOKENS) this.tellSoon()
+    if (unreadTokens > LARGE_PROMPT_TOKENS) this.sendSoon()
   }
 
-  /** Notes that an endpoint could not be connected to or has ended, which spares the others the same try. */
+  /** Reports at once that an endpoint cannot be reached or has ended, so that other entries do not try it. */
   noteUnreachable (): void {
-    this.tellSoon()
+    this.sendSoon()
   }
 
-  private tellSoon (): void {
-    setImmediate(() => this.tellAfter(AT_ONCE_SPACING_MS))
+  private sendSoon (): void {
+    setImmediate(() => this.sendAfter(MIN_INTERVAL_MS))
   }
 
-  /** Looks whether there is something to tell; called at even intervals. */
+  /** Updates the endpoints and sends the load if it has changed. */
   tick (): void {
     const now = performance.now()
-    if (now - this.heardAt > VALID_MS) this.forgetOthers()
+    if (now - this.receivedAt > VALID_MS) this.clearOthers()
     for (const { endpoint, turns } of this.services.view.nextTurn(now)) {
       endpoint.others = this.others.get(endpoint.description.incarnation) ?? NO_OTHERS
       endpoint.sampleReading(now, turns)
       this.services.view.index.count(endpoint)
     }
-    // An evacuated engine that is reserved would leave the streams that it is reserved for without one.
+    // An engine in an evacuated data centre must not be reserved, since the streams could not use it.
     this.services.view.reserveEngines((dataCentre) => !this.services.evacuatedPlaces.isEvacuated(dataCentre))
-    this.tellAfter(0)
+    this.sendAfter(0)
   }
 
-  private forgetOthers (): void {
+  private clearOthers (): void {
     for (const incarnation of this.others.keys()) {
       const endpoint = this.services.view.get(incarnation)
       if (endpoint !== undefined) endpoint.others = NO_OTHERS
@@ -98,21 +99,21 @@
     this.others.clear()
   }
 
-  /** Tells what has changed, unless something was told less than this time ago. */
-  private tellAfter (spacingMs: number): void {
-    const sinceTold = performance.now() - this.toldAt
-    if (sinceTold < spacingMs) return
-    const works = this.ownWorks()
+  /** Sends the load if it has changed, unless the last message was sent less than this time ago. */
+  private sendAfter (intervalMs: number): void {
+    const sinceSent = performance.now() - this.sentAt
+    if (sinceSent < intervalMs) return
+    const works = this.collectLoad()
     const text = JSON.stringify(works)
-    const isChanged = text !== this.toldText || this.untoldHoldings.length > 0
-    if (!isChanged && sinceTold < REPEAT_MS) return
-    if (!this.services.controlLinks.tellWork({ works, holdings: this.untoldHoldings, observations: this.takeObservations() })) return
-    this.untoldHoldings = []
-    this.toldText = text
-    this.toldAt = performance.now()
+    const hasChanged = text !== this.sentText || this.unsentHoldings.length > 0
+    if (!hasChanged && sinceSent < REPEAT_MS) return
+    if (!this.services.controlLinks.tellWork({ works, holdings: this.unsentHoldings, observations: this.takeObservations() })) return
+    this.unsentHoldings = []
+    this.sentText = text
+    this.sentAt = performance.now()
   }
 
-  /** Takes what control has learnt of how engines read and how attempts end there. */
+  /** Adopts the reading speeds, pauses and failure shares that control has derived from the observations of all entries. */
   learn ({ readings }: MessageOf<'readings'>): void {
     const now = performance.now()
     for (const reading of readings) {
@@ -122,6 +123,7 @@
     }
   }
 
+  /** Returns what was observed at busy endpoints since the last message, and clears it. */
   private takeObservations (): Observation[] {
     return [...this.services.view.busy()].flatMap(({ description: { incarnation }, reading, outcomes }) => {
       if (!reading.hasSeen && !outcomes.hasSeen) return []
@@ -129,7 +131,7 @@
     })
   }
 
-  private ownWorks (): WorkSummary[] {
+  private collectLoad (): WorkSummary[] {
     const now = performance.now()
     return [...this.services.view.busy()].filter((endpoint) => endpoint.inFlight > 0 || endpoint.isDead(now)).map((endpoint) => ({
       incarnation: endpoint.description.incarnation,
@@ -143,7 +145,7 @@
   }
 }
 
-/** What this entry's requests hold there, in whole tokens. */
+/** The memory that this entry's requests use at an endpoint, in whole tokens. */
 function memoryOf ({ memory }: EndpointState): MemoryUse {
   const { tokens, sharedTokens, sharing, subjects: [low, high] } = memory.use
   return { tokens: Math.round(tokens), sharedTokens, sharing, subjects: [low, high] }
