--- a/entry/gateway/test/allowed-regions.fuzz.test.ts
+++ b/entry/gateway/test/allowed-regions.fuzz.test.ts
@@ -1,4 +1,4 @@
-/** Random fleets, documents and histories: whatever is tried, neither an attempt nor a copy leaves the allowed regions. */
+/** With random endpoints, documents and attempt histories, no attempt and no prefix copy leaves the allowed regions. */
 import { expect, it } from 'vitest'
 import fc from 'fast-check'
 import { checkShape, RouteTable, type RoutingDocument } from '@gullwall/config.document'
@@ -14,8 +14,8 @@
 const RUNS = Number(process.env['FUZZ_RUNS'] ?? 500)
 const SEED = Number(process.env['FUZZ_SEED'] ?? 11)
 const REGIONS = ['a', 'b', 'c']
-/** Without a list every region is allowed, the unnamed one too. */
-const ANY = [...REGIONS, '']
+/** Without a list every region is allowed, including the unnamed one. */
+const ALL_REGIONS = [...REGIONS, '']
 const DATA_CENTRES = ['dc0', 'dc1', 'dc2', 'dc3', 'dc4']
 const SLOTS = 8
 const PROMPT = [{ id: 'subject', tokens: 8000 }, { id: 'own', tokens: 500 }]
@@ -28,21 +28,21 @@
 interface Server {
   dataCentre: string
   running: number
-  /** Whether it keeps the shared part of the prompt. */
-  keeps: boolean
+  /** Whether the shared part of the prompt is cached. */
+  isCached: boolean
 }
 
-const list = fc.option(fc.uniqueArray(fc.constantFrom(...REGIONS), { minLength: 1 }), { nil: undefined })
-const limitsOfDocument: fc.Arbitrary<Limits> = fc.record({ route: list, organisation: list })
+const regionList = fc.option(fc.uniqueArray(fc.constantFrom(...REGIONS), { minLength: 1 }), { nil: undefined })
+const limitsOfDocument: fc.Arbitrary<Limits> = fc.record({ route: regionList, organisation: regionList })
 const server: fc.Arbitrary<Server> = fc.record({
-  dataCentre: fc.constantFrom(...DATA_CENTRES), running: fc.integer({ min: 0, max: SLOTS }), keeps: fc.boolean()
+  dataCentre: fc.constantFrom(...DATA_CENTRES), running: fc.integer({ min: 0, max: SLOTS }), isCached: fc.boolean()
 })
-const world = fc.record({
-  // Data centres may lie in no named region.
+const scenario = fc.record({
+  // Some data centres are in no named region.
   regions: fc.dictionary(fc.constantFrom(...DATA_CENTRES), fc.constantFrom(...REGIONS)),
   servers: fc.array(server, { maxLength: 12 }),
-  arrivedUnder: limitsOfDocument,
-  inForce: limitsOfDocument,
+  limitsAtArrival: limitsOfDocument,
+  currentLimits: limitsOfDocument,
   isNewer: fc.boolean(),
   isPublic: fc.boolean(),
   tier: fc.integer({ min: 0, max: 2 }),
@@ -100,18 +100,18 @@
   }
 }
 
-function endpointOf ({ dataCentre, running, keeps }: Server, index: number): EndpointState {
+function endpointOf ({ dataCentre, running, isCached }: Server, index: number): EndpointState {
   const endpoint = new EndpointState({ incarnation: `i-${index}`, service: 'lm', address: `127.0.0.1:${9000 + index}`, dataCentre, slots: SLOTS })
   endpoint.others = { unread: [], running, strain: 0, sensitive: 0, unreachable: 0 }
-  if (keeps) endpoint.prefixes.note(PROMPT.slice(0, 1), -Infinity)
+  if (isCached) endpoint.prefixes.note(PROMPT.slice(0, 1), -Infinity)
   return endpoint
 }
 
-it(`requests, repeats, resumptions and copies stay in the allowed regions (seed ${SEED})`, () => {
+it(`requests, retries, resumptions and prefix copies stay in the allowed regions (seed ${SEED})`, () => {
   console.log(`seed ${SEED}, ${RUNS} runs`)
-  fc.assert(fc.property(world, ({ regions, servers, arrivedUnder, inForce, isNewer, isPublic, tier, isResumed }) => {
+  fc.assert(fc.property(scenario, ({ regions, servers, limitsAtArrival, currentLimits, isNewer, isPublic, tier, isResumed }) => {
     const endpoints = servers.map(endpointOf)
-    const table = new RouteTable(documentOf(isNewer ? 2 : 1, isNewer ? inForce : arrivedUnder, isPublic))
+    const table = new RouteTable(documentOf(isNewer ? 2 : 1, isNewer ? currentLimits : limitsAtArrival, isPublic))
     const index = new EndpointIndex()
     for (const endpoint of endpoints) index.setUsable(endpoint, true)
     const pool = (service: string) => index.pool(service)
@@ -129,16 +129,18 @@
       coldEngines: { preferred: (endpoints: readonly EndpointState[]) => endpoints },
       limits: { mustAsk: () => false }
     } as unknown as GatewayServices
-    const call = callUnder(documentOf(1, arrivedUnder, isPublic), tier)
+    const call = callUnder(documentOf(1, limitsAtArrival, isPublic), tier)
     const history = new AttemptHistory(call)
-    const binding = [arrivedUnder, ...(isNewer ? [inForce] : [])].flatMap(({ route, organisation }) => [route ?? ANY, organisation ?? ANY])
+    const allowedLists = [limitsAtArrival, ...(isNewer ? [currentLimits] : [])].flatMap(({ route, organisation }) => (
+      [route ?? ALL_REGIONS, organisation ?? ALL_REGIONS]
+    ))
     const known = new Regions(regions)
     const isAllowed = ({ description }: EndpointState) => (
-      binding.every((allowed) => allowed.includes(known.regionOf(description.dataCentre)))
+      allowedLists.every((allowed) => allowed.includes(known.regionOf(description.dataCentre)))
     )
     const remaining = () => endpoints.filter((endpoint) => isAllowed(endpoint) && !history.excluded.has(endpoint.description.incarnation))
     const options = { services, call, history, isResumed }
-    // Each turn is an attempt, a repeat or a resumption, until nothing is left to try.
+    // Each iteration is an attempt, a retry or a resumption, until no endpoint is left.
     for (let candidate = chooseEndpoint(options); candidate !== undefined; candidate = chooseEndpoint(options)) {
       expect(isAllowed(candidate.endpoint)).toBe(true)
       if (candidate.source !== undefined) {
@@ -149,7 +151,7 @@
       history.noteUnsent(candidate.endpoint.description.incarnation)
       expect(hasAlternative(options, candidate.endpoint)).toBe(remaining().length > 0)
     }
-    // Engines with free slots are all tried; the others take urgent requests only.
+    // All engines with free slots are tried; the others accept urgent requests only.
     for (const { running } of remaining()) expect(running).toBeGreaterThan(0.9 * SLOTS)
     if (endpoints.length > 0 && !endpoints.some(isAllowed)) expect(whyNone(options)).toContain('no endpoint may have it')
   }), { numRuns: RUNS, seed: SEED })
--- a/entry/gateway/test/allowed-regions.test.ts
+++ b/entry/gateway/test/allowed-regions.test.ts
@@ -25,7 +25,7 @@
   await deployment.configure(version, limits)
 }
 
-const closed: Behaviour = (_request, response) => response.destroy()
+const closeConnection: Behaviour = (_request, response) => response.destroy()
 
 beforeAll(async () => {
   await deployment.start()
@@ -34,12 +34,12 @@
 afterAll(async () => await deployment.stop())
 beforeEach(() => { for (const standIn of all) standIn.behaviour = answerWell })
 
-describe('a request whose regions are limited', () => {
+describe('a request with allowed regions', () => {
   it.each<[string, RegionLists]>([
     ['by its route', { routes: ['south'] }],
     ['by its organisation', { organisation: ['south', 'west'] }],
     ['by both', { routes: ['north', 'south'], organisation: ['south', 'west'] }]
-  ])('stays in them: %s', async (_by, limits) => {
+  ])('stays in the regions that are set %s', async (_by, limits) => {
     await limit(limits)
     for (let count = 0; count < 10; count += 1) {
       const { id, status } = await call('/look-up/1')
@@ -47,29 +47,29 @@
     }
   })
 
-  it('goes nowhere else when it fails there', async () => {
+  it('is not sent to another region after a failure', async () => {
     await limit({ routes: ['south'] })
-    south.behaviour = closed
+    south.behaviour = closeConnection
     const { id, status } = await call('/look-up/1')
     expect([status, whereRan(id)]).toEqual([502, ['i-south']])
   })
 
   it.each<[string, RegionLists]>([
-    ['no engine stands in its region', { routes: ['west'] }],
+    ['no endpoint is in its region', { routes: ['west'] }],
     ['its route and its organisation have no region in common', { routes: ['north'], organisation: ['south'] }]
-  ])('is refused, and has not run, where %s', async (_why, limits) => {
+  ])('is refused without being run if %s', async (_why, limits) => {
     await limit(limits)
     const { id, status, text } = await call('/order/1')
     expect([status, whereRan(id)]).toEqual([503, []])
     expect(JSON.parse(text)).toMatchObject({ error: { code: 'ERR_GULLWALL_REFUSED', ran: 'no', message: expect.stringContaining('no endpoint may have it') } })
   })
 
-  it('on a public route is limited by the organisation whose key it brings', async () => {
+  it('on a public route stays in the regions of the organisation whose key it sends', async () => {
     await limit({ organisation: ['south'] })
     for (let count = 0; count < 10; count += 1) expect(whereRan((await call('/open/1')).id)).toEqual(['i-south'])
   })
 
-  it('may go anywhere as soon as the document lifts the limit', async () => {
+  it('is sent to any region once a document removes the limit', async () => {
     await limit({ routes: ['west'] })
     expect((await call('/look-up/1')).status).toBe(503)
     await limit({ routes: [] })
@@ -77,7 +77,7 @@
   })
 })
 
-it('a document that names an unknown region is refused with its name', async () => {
+it('a document with an unknown region is rejected with the name of the region', async () => {
   const documents = deployment.control.get('documents')
   const refused = await documents.put(JSON.stringify(documentOf(1000, { routes: ['south', 'atlantis'] })))
   expect(JSON.stringify(refused.swap().orDefault([]))).toMatch(/routes.look-up.allowedRegions.*atlantis.*north, south, west/)
--- a/entry/gateway/test/control-addresses.test.ts
+++ b/entry/gateway/test/control-addresses.test.ts
@@ -6,7 +6,7 @@
 const LONG_MS = 31_000
 
 describe('the address of a control process', () => {
-  it('is forgotten once it is a seed no more, nobody names it and it is not linked', () => {
+  it('expires once it is neither a seed nor announced nor linked', () => {
     const addresses = new ControlAddresses()
     addresses.noteSeeds(['old', 'kept'], 0)
     addresses.noteNamed(['named', 'linked'], 0)
@@ -18,7 +18,7 @@
     expect(addresses.takeForgotten([], 3 * LONG_MS).sort()).toEqual(['linked', 'named'])
   })
 
-  it('is dialled no more by a gateway then, and counts no more among those that should be linked', async () => {
+  it('is no longer dialled by a gateway after that, nor counted among the expected links', async () => {
     const deployment = new GatewayDeployment([])
     await deployment.start()
     try {
--- a/entry/gateway/test/deployment-view.test.ts
+++ b/entry/gateway/test/deployment-view.test.ts
@@ -17,8 +17,8 @@
   }
 }
 
-/** What asking every endpoint gives. */
-function asked (view: DeploymentView, names: number): string[] {
+/** Returns the usable endpoints by checking each of them. */
+function checkEach (view: DeploymentView, names: number): string[] {
   return Array.from({ length: names }, (_, name) => `i-${name}`).filter((incarnation) => (
     view.get(incarnation)?.hasEnded === false && view.leases.isUsable(incarnation)
   ))
@@ -26,28 +26,28 @@
 
 const usableNames = (view: DeploymentView) => view.usable('lm').map(({ description }) => description.incarnation)
 
-describe('the endpoints that take work', () => {
-  it('are those that hold a ready lease and their address, after any words in any order', () => {
+describe('the usable endpoints', () => {
+  it('are those with a ready lease and their own address, after any leases in any order', () => {
     console.log(`seed ${SEED}`)
-    const word = fc.record({
+    const leaseChange = fc.record({
       name: fc.integer({ min: 0, max: 7 }),
       host: fc.integer({ min: 0, max: 3 }),
       sequence: fc.integer({ min: 1, max: 6 }),
       state: fc.constantFrom('ready' as const, 'ready' as const, 'draining' as const, 'gone' as const),
-      // Below 0, as if it came later: then the sweep finds others that have run out.
+      // A negative age stands for a later arrival, after which the sweep finds other leases expired.
       ageMs: fc.integer({ min: -3000, max: 11_000 })
     })
-    fc.assert(fc.property(fc.array(fc.array(word, { minLength: 1, maxLength: 3 }), { maxLength: 20 }), (batches) => {
+    fc.assert(fc.property(fc.array(fc.array(leaseChange, { minLength: 1, maxLength: 3 }), { maxLength: 20 }), (batches) => {
       const view = createView()
       for (const batch of batches) {
         view.leases.merge(batch.map(({ name, host, ...rest }) => lease(name, rest.sequence, { ...rest, address: `10.0.0.${host}:80` })))
         if (batch.length === 3) view.leases.sweep()
-        expect([...usableNames(view)].sort()).toEqual(asked(view, 8))
+        expect([...usableNames(view)].sort()).toEqual(checkEach(view, 8))
       }
     }), { seed: SEED, numRuns: 300 })
   })
 
-  it('are without one whose address another process has, from that answer on', () => {
+  it('exclude an endpoint as soon as an answer shows that another process has its address', () => {
     const view = createView()
     view.leases.merge([lease(1, 1), lease(2, 1)])
     const endpoint = view.get('i-1')
@@ -59,7 +59,7 @@
     expect(usableNames(view)).toEqual(['i-2'])
   })
 
-  it('are forgotten once they are gone and nothing runs there, and not before', () => {
+  it('are removed only once they are gone and have no requests in flight', () => {
     const view = createView()
     view.leases.merge([lease(1, 1), lease(2, 1), lease(3, 1)])
     const work = view.get('i-1')?.begin({ prompt: [], unreadTokens: 0, urgency: 0, strain: 0, isSensitive: false }, 0)
@@ -72,18 +72,18 @@
     expect(view.busy().size).toBe(0)
   })
 
-  it('are looked at all in turn, and those with work in every turn', () => {
+  it('are all checked in turn, and busy ones at every tick', () => {
     const view = createView()
     view.leases.merge(Array.from({ length: 1000 }, (_, name) => lease(name, 1, { address: `10.0.${name}.1:80` })))
     const busy = view.get('i-999')
     busy?.begin({ prompt: [], unreadTokens: 0, urgency: 0, strain: 0, isSensitive: false }, 0)
-    const seen = new Set<unknown>()
-    for (let turn = 0; turn < 4; turn += 1) {
-      const looked = view.nextTurn(0)
-      expect(looked.length).toBeLessThanOrEqual(257)
-      expect(looked.filter(({ endpoint }) => endpoint === busy)).toEqual([{ endpoint: busy, turns: 1 }])
-      for (const { endpoint } of looked) seen.add(endpoint)
+    const checked = new Set<unknown>()
+    for (let tick = 0; tick < 4; tick += 1) {
+      const batch = view.nextTurn(0)
+      expect(batch.length).toBeLessThanOrEqual(257)
+      expect(batch.filter(({ endpoint }) => endpoint === busy)).toEqual([{ endpoint: busy, turns: 1 }])
+      for (const { endpoint } of batch) checked.add(endpoint)
     }
-    expect(seen.size).toBe(1000)
+    expect(checked.size).toBe(1000)
   })
 })
--- a/entry/gateway/test/entry-count.test.ts
+++ b/entry/gateway/test/entry-count.test.ts
@@ -5,8 +5,8 @@
 const SLACK = 90
 const CONTROLS = ['c1', 'c2', 'c3', 'c4', 'c5']
 
-describe('how many entries share the budgets', () => {
-  it('is not lowered by a control process that has just started, and is raised at once', () => {
+describe('the number of entries that share the budgets', () => {
+  it('is not lowered by a control process that has just started, and rises at once', () => {
     const counts = new EntryCount()
     for (const control of CONTROLS) counts.note(control, 24, 0)
     counts.note('c5', 2, 100)
@@ -15,7 +15,7 @@
     expect(counts.count(true, 200)).toBe(42)
   })
 
-  it('falls once all have told less for as long as a window', () => {
+  it('falls once all control processes have reported less for the length of a window', () => {
     const counts = new EntryCount()
     counts.note('c1', 24, 0)
     for (let now = 2000; now <= 14_000; now += 2000) {
@@ -24,7 +24,7 @@
     }
   })
 
-  it('stays as it was on the smaller side of a cut, however long that lasts', () => {
+  it('does not fall in the minority of a network partition, however long that lasts', () => {
     const counts = new EntryCount()
     for (const control of CONTROLS) counts.note(control, 24, 0)
     for (let now = 2000; now <= 60_000; now += 2000) {
@@ -35,20 +35,20 @@
     expect(counts.count(true, 62_000)).toBe(24)
   })
 
-  it('splits the slack anew while entries join: all together never have more than it', () => {
+  it('divides the slack again while entries join, and together they never use more than the slack', () => {
     let now = 0
     let taken = 0
     const entries = Array.from({ length: 24 }, () => entryWith(() => now))
     const spend = () => { for (const { budget } of entries) while (budget.take()) taken += 1 }
     spend()
     expect(taken).toBeGreaterThan(SLACK / 4)
-    // Each newcomer hears the count at the opening of its first link; the others within the time in which control tells all together.
+    // A new entry receives the count when its first link opens; the others receive it with the next announcement of control.
     for (let joined = 0; joined < 18; joined += 1) {
       now += 50
       entries.push(entryWith(() => now))
       entries.at(-1)?.counts.note('c1', entries.length, now)
       if (joined % 2 === 1) for (const { counts } of entries) counts.note('c1', entries.length, now)
-      // A newcomer has a part of its own at once, also where the others have used up theirs.
+      // A new entry has its own share at once, even if the others have used up theirs.
       expect(entries.at(-1)?.budget.left).toBeGreaterThan(1)
       spend()
     }
--- a/entry/gateway/test/evacuated-places.test.ts
+++ b/entry/gateway/test/evacuated-places.test.ts
@@ -6,8 +6,8 @@
 import { EvacuatedPlaces } from '../src/evacuated-places.ts'
 import { Exchange } from '../src/exchange.ts'
 
-/** Records as control decides them, at a store that is brought up to date when the test says so. */
-class Source {
+/** The records of control, and a store to which the test copies them. */
+class Fixture {
   readonly store = new RevisionStore({ logger: silentLogger() })
   readonly control = new ControlState()
   readonly withdrawn: string[] = []
@@ -22,54 +22,54 @@
     this.control.apply(0, JSON.stringify({ type: 'evacuate', dataCentre: 'dc1', isEvacuated, seen: this.control.revision }))
   }
 
-  spread (): void {
+  copyRecords (): void {
     this.store.replace(this.control.revision, [...this.control.records.entries()])
   }
 }
 
-describe('evacuated places', () => {
-  it('are those of the records in force, and requests that wait look again', () => {
-    const source = new Source()
-    source.order(true)
-    expect(source.places.evacuated).toEqual([])
-    source.spread()
-    expect(source.places.evacuated).toEqual(['dc1'])
-    expect(source.places.rule('dc1', {} as never)).toBe('data centre dc1 is evacuated')
-    expect(source.places.rule('dc2', {} as never)).toBeUndefined()
-    expect(source.wake).toHaveBeenCalledTimes(1)
+describe('evacuated data centres', () => {
+  it('are those of the current records, and a change wakes waiting requests', () => {
+    const fixture = new Fixture()
+    fixture.order(true)
+    expect(fixture.places.evacuated).toEqual([])
+    fixture.copyRecords()
+    expect(fixture.places.evacuated).toEqual(['dc1'])
+    expect(fixture.places.rule('dc1', {} as never)).toBe('data centre dc1 is evacuated')
+    expect(fixture.places.rule('dc2', {} as never)).toBeUndefined()
+    expect(fixture.wake).toHaveBeenCalledTimes(1)
   })
 
-  it('are told to be withdrawn once, also where the evacuation itself was missed', () => {
-    const source = new Source()
-    source.control.apply(0, JSON.stringify({ type: 'document', version: 1, text: '{}' }))
-    source.spread()
-    source.order(true)
-    source.order(false)
-    source.spread()
-    expect(source.withdrawn).toEqual(['dc1'])
-    source.order(false)
-    source.spread()
-    expect(source.withdrawn).toEqual(['dc1'])
-    source.order(true)
-    source.spread()
-    source.order(false)
-    source.order(true)
-    source.spread()
-    expect(source.places.evacuated).toEqual(['dc1'])
-    expect(source.withdrawn).toEqual(['dc1', 'dc1'])
+  it('are reported as withdrawn once, even if the evacuation itself was missed', () => {
+    const fixture = new Fixture()
+    fixture.control.apply(0, JSON.stringify({ type: 'document', version: 1, text: '{}' }))
+    fixture.copyRecords()
+    fixture.order(true)
+    fixture.order(false)
+    fixture.copyRecords()
+    expect(fixture.withdrawn).toEqual(['dc1'])
+    fixture.order(false)
+    fixture.copyRecords()
+    expect(fixture.withdrawn).toEqual(['dc1'])
+    fixture.order(true)
+    fixture.copyRecords()
+    fixture.order(false)
+    fixture.order(true)
+    fixture.copyRecords()
+    expect(fixture.places.evacuated).toEqual(['dc1'])
+    expect(fixture.withdrawn).toEqual(['dc1', 'dc1'])
   })
 
-  it('that were withdrawn before the process had any records are not told', () => {
-    const source = new Source()
-    source.order(true)
-    source.order(false)
-    source.spread()
-    expect(source.withdrawn).toEqual([])
+  it('that were withdrawn before the process had any records are not reported', () => {
+    const fixture = new Fixture()
+    fixture.order(true)
+    fixture.order(false)
+    fixture.copyRecords()
+    expect(fixture.withdrawn).toEqual([])
   })
 })
 
 describe('an attempt that waits for a connection', () => {
-  it('is withheld if its data centre is evacuated meanwhile, and not a byte of it is written', async () => {
+  it('is withheld if its data centre is evacuated meanwhile, before any byte is written', async () => {
     let handler: Dispatcher.DispatchHandler | undefined
     const dispatcher = { dispatch: (_options: unknown, given: Dispatcher.DispatchHandler) => { handler = given } } as unknown as Dispatcher
     let isEvacuated = false
--- a/entry/gateway/test/evacuation.test.ts
+++ b/entry/gateway/test/evacuation.test.ts
@@ -1,4 +1,4 @@
-/** A gateway before two data centres of which one or both are evacuated. */
+/** A gateway with endpoints in two data centres, of which one or both are evacuated. */
 import { afterAll, afterEach, beforeAll, describe, expect, it, vi } from 'vitest'
 import { request } from 'undici'
 import { until } from '@gullwall/bench.deployment'
@@ -12,8 +12,8 @@
 const deployment = new GatewayDeployment(both, { dc1: 'north', dc2: 'north' })
 const caller: OrderCaller = { hasLeft: false, leftBefore: async () => false }
 
-/** For how long a new request waits for an endpoint, in ms: a quarter of its target. */
-const PATIENCE_MS = 100
+/** The time for which a new request waits for an endpoint, in ms: a quarter of its target. */
+const MAX_WAIT_MS = 100
 
 let ids = 0
 
@@ -38,23 +38,23 @@
   return await callAt(deployment.url(''), path, headers, body)
 }
 
-const places = () => deployment.gateway.get('evacuatedPlaces')
+const evacuations = () => deployment.gateway.get('evacuatedPlaces')
 
 async function order (dataCentre: string, isEvacuated: boolean): Promise<void> {
   await deployment.control.get('evacuations').order({ dataCentre, isEvacuated, caller })
 }
 
-async function orderInForce (dataCentre: string, isEvacuated: boolean): Promise<void> {
+async function applyOrder (dataCentre: string, isEvacuated: boolean): Promise<void> {
   await order(dataCentre, isEvacuated)
-  await until('the order in force', () => places().isEvacuated(dataCentre) === isEvacuated)
+  await until('the order to apply', () => evacuations().isEvacuated(dataCentre) === isEvacuated)
 }
 
-/** The endpoint that the first attempt of a request was sent to, as its line tells. */
+/** Returns the log line of the first attempt of a request. */
 function firstLine (id: string): Record<string, unknown> {
   return deployment.story(id)[0] ?? {}
 }
 
-const lastOf = (id: string) => String(deployment.story(id).at(-1)?.['why'])
+const lastReason = (id: string) => String(deployment.story(id).at(-1)?.['why'])
 
 beforeAll(async () => {
   await deployment.start()
@@ -70,62 +70,62 @@
 afterEach(async () => {
   vi.restoreAllMocks()
   for (const standIn of both) standIn.behaviour = answerWell
-  for (const dataCentre of ['dc1', 'dc2']) await orderInForce(dataCentre, false)
+  for (const dataCentre of ['dc1', 'dc2']) await applyOrder(dataCentre, false)
 })
 
-/** Sends prompts until one has its home at an endpoint and is kept there; gives the header of that prompt. */
-async function promptKeptAt (standIn: StandIn): Promise<Record<string, string>> {
+/** Sends prompts until one is assigned to an endpoint and cached there; returns the header of that prompt. */
+async function promptCachedAt (standIn: StandIn): Promise<Record<string, string>> {
   for (let subject = 0; subject < 100; subject += 1) {
     const shared = { id: `s${subject}`, tokens: 20_000 }
     const headers = { 'x-gullwall-prompt-parts': `${shared.id}:${shared.tokens},own:10` }
     const { endpoint, why } = firstLine((await call('/open/1', headers)).id)
     if (endpoint !== standIn.incarnation || why !== 'home of its prompt') continue
     const { prefixes } = deployment.gateway.get('view').get(standIn.incarnation) ?? {}
-    await until('the prompt is kept', () => (prefixes?.copyableTokens([shared], performance.now()) ?? 0) > 0)
+    await until('the prompt to be cached', () => (prefixes?.copyableTokens([shared], performance.now()) ?? 0) > 0)
     return headers
   }
-  throw new Error('no prompt has its home there')
+  throw new Error('no prompt was assigned to the endpoint')
 }
 
 describe('an evacuated data centre', () => {
-  it('gets nothing more, and has requests again once that is withdrawn', async () => {
-    await orderInForce('dc1', true)
+  it('receives nothing more, and receives requests again once the order is withdrawn', async () => {
+    await applyOrder('dc1', true)
     const before = near.arrived.length
     for (let turn = 0; turn < 10; turn += 1) expect((await call(`/look-up/${turn}`)).status).toBe(200)
     expect(near.arrived.length).toBe(before)
-    await orderInForce('dc1', false)
+    await applyOrder('dc1', false)
     await until('a request', async () => {
       await call('/look-up/1')
       return near.arrived.length > before
     })
   })
 
-  it('loses its prompts to other homes at once, and no engine is told to copy from there', async () => {
-    const headers = await promptKeptAt(far)
-    await orderInForce('dc2', true)
+  it('loses its prompts to other endpoints at once, and no endpoint is told to copy from it', async () => {
+    const headers = await promptCachedAt(far)
+    await applyOrder('dc2', true)
     const moved = await call('/open/1', headers)
     expect(firstLine(moved.id)).toMatchObject({ endpoint: near.incarnation, why: 'home of its prompt' })
     expect(near.headers[near.arrived.indexOf(moved.id)]?.['x-gullwall-prefix-source']).toBeUndefined()
   })
 
-  it('ends its running streams in peace', async () => {
+  it('completes its running streams', async () => {
     let finish: (() => void) | undefined
-    const hold: Behaviour = (incoming, response) => {
+    const holdStream: Behaviour = (incoming, response) => {
       response.writeHead(200, { 'x-gullwall-request-id': String(incoming.headers['x-gullwall-request-id']) })
       response.write('id: 1\ndata: 1\n\n')
       finish = () => response.end('id: 2\ndata: 2\n\n')
     }
-    await orderInForce('dc1', true)
-    far.behaviour = hold
+    await applyOrder('dc1', true)
+    far.behaviour = holdStream
     const streamed = call('/long/1', {}, 'x')
     await until('the first event', () => finish !== undefined)
-    await orderInForce('dc2', true)
+    await applyOrder('dc2', true)
     finish?.()
     expect(await streamed).toMatchObject({ status: 200, text: 'id: 1\ndata: 1\n\nid: 2\ndata: 2\n\n' })
   })
 
-  it.each([['/look-up/1', 'a retry'], ['/draft/1', 'a resumption']])('gets neither %s again: %s', async (path) => {
-    await orderInForce('dc2', true)
+  it.each([['/look-up/1', 'a retry'], ['/draft/1', 'a resumption']])('does not receive a request again: %s, as %s', async (path) => {
+    await applyOrder('dc2', true)
     const before = far.arrived.length
     near.behaviour = (incoming, response) => {
       response.writeHead(200, { 'x-gullwall-request-id': String(incoming.headers['x-gullwall-request-id']), 'content-length': '999' })
@@ -135,15 +135,15 @@
     expect(far.arrived.length).toBe(before)
   })
 
-  it('gets a stream that broke elsewhere and waits for an endpoint when the order is withdrawn', async () => {
+  it('resumes a stream that broke elsewhere if the order is withdrawn while the stream waits for an endpoint', async () => {
     let isWithdrawn = false
-    vi.spyOn(places(), 'isEvacuated').mockImplementation((dataCentre) => dataCentre === 'dc2' && !isWithdrawn)
+    vi.spyOn(evacuations(), 'isEvacuated').mockImplementation((dataCentre) => dataCentre === 'dc2' && !isWithdrawn)
     vi.spyOn(deployment.gateway.get('view'), 'changeWithin').mockImplementation(async () => { isWithdrawn = true })
     const first = 'id: 1\ndata: 1\n\n'
     near.behaviour = (incoming, response) => {
       response.writeHead(200, { 'x-gullwall-request-id': String(incoming.headers['x-gullwall-request-id']) })
       response.write(first)
-      setTimeout(() => response.destroy(), PATIENCE_MS + 50)
+      setTimeout(() => response.destroy(), MAX_WAIT_MS + 50)
     }
     far.behaviour = (incoming, response) => {
       response.writeHead(200, { 'x-gullwall-request-id': String(incoming.headers['x-gullwall-request-id']) })
@@ -152,13 +152,13 @@
     expect(await call('/draft/1', {}, 'x')).toMatchObject({ status: 200, text: `${first}id: 2\ndata: 2\n\n` })
   })
 
-  it('does not get a request that was chosen for it before the order, nor is its endpoint blamed', async () => {
-    const headers = await promptKeptAt(far)
+  it('does not receive a request that was assigned before the order, and its endpoint is not marked unreachable', async () => {
+    const headers = await promptCachedAt(far)
     const before = far.arrived.length
     const connections = deployment.gateway.get('connections')
     const to = connections.to.bind(connections)
     vi.spyOn(connections, 'to').mockImplementation((description, ...rest) => {
-      if (description.dataCentre === 'dc2') vi.spyOn(places(), 'isEvacuated').mockImplementation((dataCentre) => dataCentre === 'dc2')
+      if (description.dataCentre === 'dc2') vi.spyOn(evacuations(), 'isEvacuated').mockImplementation((dataCentre) => dataCentre === 'dc2')
       return to(description, ...rest)
     })
     const reply = await call('/order/1', headers, 'x')
@@ -171,7 +171,7 @@
 
   it('has none of its engines reserved', async () => {
     const reserved = vi.spyOn(deployment.gateway.get('view').reserved, 'update')
-    await orderInForce('dc2', true)
+    await applyOrder('dc2', true)
     reserved.mockClear()
     await until('engines to be reserved', () => reserved.mock.calls.length > 0)
     for (const [, endpoints] of reserved.mock.calls) {
@@ -179,8 +179,8 @@
     }
   })
 
-  it('does not draw away a call that waits elsewhere', async () => {
-    await orderInForce('dc2', true)
+  it('does not attract a request that waits for an answer elsewhere', async () => {
+    await applyOrder('dc2', true)
     const before = far.arrived.length
     near.behaviour = (...args) => { setTimeout(() => answerWell(...args), 1100) }
     expect(await call('/look-up/1')).toMatchObject({ status: 200 })
@@ -188,30 +188,30 @@
   })
 })
 
-it('a request that only evacuated data centres could serve is refused, told when to come back, and its line says why', async () => {
-  await orderInForce('dc1', true)
-  await orderInForce('dc2', true)
+it('a request that only evacuated data centres could serve is refused with a retry-after header and a reason in the log', async () => {
+  await applyOrder('dc1', true)
+  await applyOrder('dc2', true)
   const refused = await call('/order/1', {}, 'x')
   expect(refused.status).toBe(503)
   expect(refused.retryAfter).toBeGreaterThan(0)
   expect(refused.text).toContain('"ran":"no"')
-  expect(lastOf(refused.id)).toMatch(/no endpoint may have it: data centre dc[12] is evacuated/)
+  expect(lastReason(refused.id)).toMatch(/no endpoint may have it: data centre dc[12] is evacuated/)
 })
 
-it('a request that is refused beside an evacuated data centre says what that took away', async () => {
-  await orderInForce('dc2', true)
+it('the log line of a refused request counts the endpoints that an evacuation excluded', async () => {
+  await applyOrder('dc2', true)
   near.behaviour = (_incoming, response) => { response.writeHead(503, { 'x-gullwall-ran': 'no' }).end() }
   const refused = await call('/order/2', {}, 'x')
   expect(refused.status).toBe(503)
-  expect(lastOf(refused.id)).toContain('1 of 2 may not have it: data centre dc2 is evacuated')
+  expect(lastReason(refused.id)).toContain('1 of 2 may not have it: data centre dc2 is evacuated')
 })
 
-it('a gateway that starts during an evacuation knows of it before its first request', async () => {
-  await orderInForce('dc2', true)
+it('a gateway that starts during an evacuation applies it before its first request', async () => {
+  await applyOrder('dc2', true)
   const before = far.arrived.length
-  const fresh = createGateway(deployment.gateway.get('settings'), { write: () => {} })
-  await fresh.start()
-  const base = `http://${fresh.get('ingress').address}`
+  const gateway = createGateway(deployment.gateway.get('settings'), { write: () => {} })
+  await gateway.start()
+  const base = `http://${gateway.get('ingress').address}`
   try {
     const statuses = new Set<number>()
     await until('a served request', async () => {
@@ -220,30 +220,30 @@
     })
     for (let turn = 0; turn < 10; turn += 1) await callAt(base, `/look-up/${turn}`)
     expect([200, 503]).toEqual(expect.arrayContaining([...statuses]))
-    expect(fresh.get('evacuatedPlaces').evacuated).toEqual(['dc2'])
+    expect(gateway.get('evacuatedPlaces').evacuated).toEqual(['dc2'])
     expect(far.arrived.length).toBe(before)
   } finally {
-    await fresh.stop()
+    await gateway.stop()
   }
 }, 20_000)
 
-it('a gateway that was cut off through the whole order learns of it, and of its withdrawal, when it is back', async () => {
+it('a gateway that was disconnected during an order applies it, and reports its withdrawal, after it reconnects', async () => {
   const withdrawn: string[] = []
-  const end = places().onWithdrawn((dataCentre) => withdrawn.push(dataCentre))
-  const cut = vi.spyOn(deployment.gateway.get('spreader'), 'receive').mockReturnValue(true)
+  const removeListener = evacuations().onWithdrawn((dataCentre) => withdrawn.push(dataCentre))
+  const firstCut = vi.spyOn(deployment.gateway.get('spreader'), 'receive').mockReturnValue(true)
   await order('dc2', true)
-  cut.mockRestore()
-  await until('the order in force', () => places().isEvacuated('dc2'))
+  firstCut.mockRestore()
+  await until('the order to apply', () => evacuations().isEvacuated('dc2'))
   const before = far.arrived.length
   for (let turn = 0; turn < 5; turn += 1) await call(`/look-up/${turn}`)
   expect(far.arrived.length).toBe(before)
-  const again = vi.spyOn(deployment.gateway.get('spreader'), 'receive').mockReturnValue(true)
+  const secondCut = vi.spyOn(deployment.gateway.get('spreader'), 'receive').mockReturnValue(true)
   await order('dc2', false)
   await order('dc2', true)
   await order('dc2', false)
   expect(withdrawn).toEqual([])
-  again.mockRestore()
-  await until('the withdrawal', () => !places().isEvacuated('dc2'))
-  end()
+  secondCut.mockRestore()
+  await until('the withdrawal', () => !evacuations().isEvacuated('dc2'))
+  removeListener()
   expect(withdrawn).toEqual(['dc2'])
 })
--- a/entry/gateway/test/gateway.test.ts
+++ b/entry/gateway/test/gateway.test.ts
@@ -32,7 +32,7 @@
   return both.reduce((sum, standIn) => sum + standIn.arrived.filter((arrived) => arrived === id).length, 0)
 }
 
-/** Whichever endpoint gets the first request behaves so; all later ones answer well. */
+/** Sets the behaviour of the endpoint that receives the next request; all later requests are answered normally. */
 function firstArrival (behaviour: Behaviour): void {
   let isFirst = true
   for (const standIn of both) {
@@ -72,13 +72,13 @@
     expect(Number(headers['x-gullwall-wait-ms'])).toBeLessThan(900)
   })
 
-  it('is refused where no route, no key or a wrong key is given', async () => {
+  it('is refused without a route, and with an unknown key unless the route is public', async () => {
     expect((await call('/nowhere/1')).status).toBe(404)
     expect((await call('/look-up/1', { headers: { authorization: 'Bearer wrong' } })).status).toBe(401)
     expect((await call('/open/1', { headers: { authorization: 'Bearer wrong' } })).status).toBe(200)
   })
 
-  it('is never run twice where it runs at most once, and the log tells why it failed', async () => {
+  it('is never run twice if it may run once only, and the log states why it failed', async () => {
     firstArrival((_incoming, response) => { response.destroy() })
     const reply = await call('/order/6', { body: 'one wheel' })
     expect(reply.status).toBe(502)
@@ -91,7 +91,7 @@
     expect(story[1]?.['endpoint']).toBe(story[0]?.['endpoint'])
   })
 
-  it('goes to another endpoint where it may be repeated', async () => {
+  it('is sent to another endpoint if it may be repeated', async () => {
     firstArrival((_incoming, response) => { response.destroy() })
     const reply = await call('/look-up/7')
     expect(reply.status).toBe(200)
@@ -99,7 +99,7 @@
     expect(deployment.story(reply.id).map((record) => record['decision'])).toContain('retry')
   })
 
-  it('names another endpoint to copy the shared parts of its prompt from, once another entry has told that it keeps them', async () => {
+  it('names an endpoint to copy the shared parts of its prompt from, once another entry has reported that they are cached there', async () => {
     const parts = [{ id: 'subject', tokens: 13_000 }]
     const works = [{
       incarnation: first.incarnation, unread: [{ urgency: 0, tokens: 90_000 }], running: 1, strain: 0, sensitive: 0, unreachable: 0
@@ -107,7 +107,7 @@
     const holdings = [{ incarnation: first.incarnation, parts }]
     const gateway = deployment.gateway
     gateway.get('workExchange').receive({ kind: 'workSums', whole: false, peers: 0, works, holdings })
-    await until('the parts are read', () => (
+    await until('the parts to be cached', () => (
       (gateway.get('view').get(first.incarnation)?.prefixes.copyableTokens(parts, performance.now()) ?? 0) > 0
     ))
     const reply = await call('/look-up/10', { headers: { 'x-gullwall-prompt-parts': 'subject:13000,own:3000' } })
@@ -116,7 +116,7 @@
     expect(deployment.story(reply.id)[0]).toMatchObject({ copiedTokens: 13_000, source: first.incarnation })
   })
 
-  it('is refused at once, and never sent, where its prompt is larger than the memory of an engine', async () => {
+  it('is refused at once, and never sent, if its prompt is larger than the memory of an engine', async () => {
     const reply = await call('/look-up/11', { headers: { 'x-gullwall-prompt-parts': 'subject:90000,own:10000' } })
     expect(reply.status).toBe(503)
     expect(reply.text).toContain('its prompt and a first token take 100001 tokens, and the memory of an engine holds 100000')
@@ -124,7 +124,7 @@
     expect(deployment.story(reply.id)[0]).toMatchObject({ decision: 'refuse' })
   })
 
-  it('is refused with a time to come back where the endpoint did not run it and no attempt is left', async () => {
+  it('is refused with a retry-after header if no endpoint ran it and no attempt is left', async () => {
     for (const standIn of both) {
       standIn.behaviour = (_incoming, response) => { response.writeHead(503, { 'x-gullwall-ran': 'no' }).end() }
     }
@@ -134,7 +134,7 @@
     expect(arrivals(reply.id)).toBeLessThanOrEqual(2)
   })
 
-  it('goes on where an endpoint has ended and another process has its address, also if it may be sent once only', async () => {
+  it('is sent again if another process has the address of the endpoint, even if it may run once only', async () => {
     const ended = new StandIn('i-ended', 'app', (_incoming, response) => { response.writeHead(421).end() })
     await ended.start()
     await deployment.register(ended)
@@ -149,7 +149,7 @@
     }
   })
 
-  it('is sent to no more endpoints than its route allows, and its failure is passed on', async () => {
+  it('is sent to no more endpoints than its route allows, and the failure is forwarded', async () => {
     for (const standIn of both) {
       standIn.behaviour = (incoming, response) => {
         response.writeHead(500, { 'x-gullwall-request-id': String(incoming.headers['x-gullwall-request-id']) }).end('failed')
@@ -160,7 +160,7 @@
     expect(arrivals(reply.id)).toBe(2)
   })
 
-  it('is not answered with the answer to another request', async () => {
+  it('does not receive the answer to another request', async () => {
     firstArrival((_incoming, response) => { response.writeHead(200, { 'x-gullwall-request-id': 'another' }).end('wrong') })
     const reply = await call('/look-up/9')
     expect(reply).toMatchObject({ status: 200, text: 'GET /look-up/9 ' })
@@ -168,8 +168,8 @@
 
   it.each([
     ['without a length', '\r\n\r\nhalf an ans'],
-    ['in chunks, of which the last is missing', '\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n']
-  ])('is not answered with a part of an answer that was reset: %s', async (_what, rest) => {
+    ['in chunks without the last one', '\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n']
+  ])('does not receive a part of an answer whose connection was reset: %s', async (_what, rest) => {
     firstArrival((incoming) => {
       const head = `HTTP/1.1 200 OK\r\nx-gullwall-request-id: ${String(incoming.headers['x-gullwall-request-id'])}`
       incoming.socket.write(head + rest, () => setImmediate(() => incoming.socket.resetAndDestroy()))
@@ -179,7 +179,7 @@
     expect(arrivals(reply.id)).toBe(2)
   })
 
-  it('is answered with an answer that ends with its connection', async () => {
+  it('receives an answer that ends with its connection', async () => {
     firstArrival((incoming) => {
       const id = String(incoming.headers['x-gullwall-request-id'])
       incoming.socket.end(`HTTP/1.1 200 OK\r\nx-gullwall-request-id: ${id}\r\n\r\na whole answer`)
@@ -189,19 +189,19 @@
     expect(reply.headers['content-length']).toBe('14')
   })
 
-  it('ends at its time, and the endpoint sees that its caller has left', async () => {
+  it('ends at its deadline, and the endpoint sees that the connection is closed', async () => {
     for (const standIn of both) standIn.behaviour = () => {}
     const before = first.left + second.left
     const startedAt = performance.now()
     const reply = await call('/order/10', { body: 'x', headers: { 'x-gullwall-wait-ms': '250' } })
     expect(reply.status).toBe(504)
     expect(performance.now() - startedAt).toBeLessThan(1200)
-    await until('the endpoint to be left', () => first.left + second.left > before)
+    await until('the endpoint to be disconnected', () => first.left + second.left > before)
   })
 })
 
 describe('a stream through the gateway', () => {
-  it('goes on at another endpoint after its last whole event', async () => {
+  it('is resumed at another endpoint after its last complete event', async () => {
     const answers: Behaviour = (incoming, response, body) => {
       const last = Number(incoming.headers['last-event-id'] ?? 0)
       if (last > 0) return stream(last + 1, 6)(incoming, response, body)
@@ -215,7 +215,7 @@
     expect(deployment.story(reply.id).map((record) => record['decision'])).toContain('resume')
   })
 
-  it('is broken off, and not ended as if it were whole, where it may not be resumed', async () => {
+  it('is aborted, and does not end like a complete stream, if it may not be resumed', async () => {
     for (const standIn of both) {
       standIn.behaviour = (incoming, response) => {
         response.writeHead(200, { 'x-gullwall-request-id': String(incoming.headers['x-gullwall-request-id']) })
@@ -227,7 +227,7 @@
     expect(arrivals(requestId)).toBe(1)
   })
 
-  it('is cancelled at the endpoint when its caller leaves', async () => {
+  it('is cancelled at the endpoint when its caller disconnects', async () => {
     for (const standIn of both) {
       standIn.behaviour = (incoming, response) => {
         response.writeHead(200, { 'x-gullwall-request-id': String(incoming.headers['x-gullwall-request-id']) })
@@ -240,12 +240,12 @@
     })
     reply.body.on('error', () => {})
     reply.body.once('data', () => reply.body.destroy())
-    await until('the endpoint to be left', () => first.left + second.left > before)
+    await until('the endpoint to be disconnected', () => first.left + second.left > before)
   })
 })
 
 describe('endpoints', () => {
-  it('that leave get no more, whatever arrives late', async () => {
+  it('that drain receive no more requests, even if an older report arrives late', async () => {
     await deployment.register(second, 'draining', 5)
     await deployment.control.get('registrar').hear({
       incarnation: second.incarnation, service: 'app', address: second.address, dataCentre: 'dc1', slots: 4, state: 'ready', sequence: 4, ageMs: 0
@@ -256,8 +256,8 @@
   })
 })
 
-describe('what a gateway has learnt of a route', () => {
-  it('is forgotten once the document has no such route', async () => {
+describe('the statistics of a route', () => {
+  it('are removed once the document no longer contains the route', async () => {
     const { reserved } = deployment.gateway.get('view')
     const before = reserved.knownRoutes
     for (const route of ['dropped-1', 'dropped-2']) reserved.noteRequest({ route }, 100)
@@ -266,8 +266,8 @@
   })
 })
 
-describe('a planned stop', () => {
-  it('finishes what is in flight and closes kept connections by asking', async () => {
+describe('a graceful stop', () => {
+  it('completes the requests in flight and closes keep-alive connections with a connection header', async () => {
     let release: (() => void) | undefined
     first.behaviour = (incoming, response, body) => { release = () => answerWell(incoming, response, body) }
     const inFlight = call('/order/20', { body: 'slow' })
@@ -289,7 +289,7 @@
     const reply = await inFlight
     expect(reply.status).toBe(200)
     expect(reply.headers['connection']).toBe('close')
-    // The stream began before the stop: its connection is kept, and the next request on it comes late.
+    // The stream began before the stop, so its connection is still open, and the next request on it arrives after the stop.
     await until('the listener to be closed', async () => await call('/look-up/21').then(() => false, () => true))
     const before = first.arrived.length
     const late = kept.request({ path: '/look-up/22', method: 'GET', headers: { ...headers, 'x-gullwall-request-id': 'late' } })
--- a/entry/gateway/test/listening-choice.test.ts
+++ b/entry/gateway/test/listening-choice.test.ts
@@ -7,25 +7,25 @@
   return { peer: { dataCentre } } as unknown as Link
 }
 
-describe('the control process that an entry listens to', () => {
+describe('the control process with which an entry exchanges load', () => {
   const [far, near, farther] = ['dc2', 'dc1', 'dc3'].map(linkTo) as [Link, Link, Link]
   const links = [far, near, farther]
 
-  it('is one in its data centre, or any', () => {
+  it('is one in its data centre, or else any', () => {
     const choice = new ListeningChoice('dc1')
     expect(choice.choose(links, 3, 0)).toBe(near)
     expect(choice.choose([far, farther], 3, 0)).toBe(far)
     expect(choice.choose([], 3, 0)).toBeUndefined()
   })
 
-  it('is one in its region where its data centre has none', () => {
+  it('is one in its region if its data centre has none', () => {
     const choice = new ListeningChoice('dc4', new Regions({ dc1: 'south', dc2: 'south', dc3: 'north', dc4: 'north' }))
     expect(choice.choose(links, 3, 0)).toBe(farther)
     expect(choice.choose([far, near], 3, 0)).toBe(far)
     expect(choice.nearestFirst(links)).toEqual([farther, far, near])
   })
 
-  it('is another while that one is cut off from most of its peers, for as long as that is known', () => {
+  it('is another one while the nearest is known to be disconnected from most of its peers', () => {
     const choice = new ListeningChoice('dc1')
     choice.note(near, 0, 1000)
     expect(choice.choose(links, 3, 1100)).toBe(far)
@@ -36,7 +36,7 @@
     expect(choice.choose(links, 3, 10_000)).toBe(near)
   })
 
-  it('stays where a minority is missing, and where there are no others', () => {
+  it('stays the same if a minority of peers is missing, or if there is no other', () => {
     const choice = new ListeningChoice('dc1')
     choice.note(near, 2, 0)
     expect(choice.choose(links, 5, 100)).toBe(near)
--- a/entry/gateway/test/region-crossings.test.ts
+++ b/entry/gateway/test/region-crossings.test.ts
@@ -19,8 +19,8 @@
 
 const notRun: Behaviour = (_request, response) => response.writeHead(503, { 'x-gullwall-ran': 'no' }).end()
 
-/** What the metrics address says of one figure; 0 where it does not name it. */
-async function figure (name: string): Promise<number> {
+/** Reads one metric from the admin server; 0 if it is missing. */
+async function readMetric (name: string): Promise<number> {
   const reply = await request(`http://${deployment.gateway.get('admin').address}/metrics`)
   const line = (await reply.body.text()).split('\n').find((text) => text.startsWith(name))
   return Number(line?.split(' ').at(-1) ?? 0)
@@ -34,20 +34,20 @@
 afterAll(async () => await deployment.stop())
 beforeEach(() => { for (const standIn of both) standIn.behaviour = answerWell })
 
-it('requests stay in the region of their gateway while that takes them, and cross when it does not', async () => {
+it('requests stay in the region of their gateway while its endpoints accept them, and are sent to another region otherwise', async () => {
   for (let count = 0; count < 20; count += 1) await send('x')
   expect(far.arrived).toEqual([])
-  expect(await figure('gullwall_leaving_requests_total{region="south"}')).toBe(0)
+  expect(await readMetric('gullwall_leaving_requests_total{region="south"}')).toBe(0)
   near.behaviour = notRun
   const { id, status } = await send('x'.repeat(5000))
   expect([status, far.arrived]).toEqual([200, [id]])
-  expect(await figure('gullwall_leaving_requests_total{region="south"}')).toBe(1)
-  expect(await figure('gullwall_leaving_bytes_total{region="south"}')).toBeGreaterThan(5000)
+  expect(await readMetric('gullwall_leaving_requests_total{region="south"}')).toBe(1)
+  expect(await readMetric('gullwall_leaving_bytes_total{region="south"}')).toBeGreaterThan(5000)
   const line = deployment.story(id).find(({ decision, attempt, endpoint }) => decision === 'dispatch' && attempt === 1 && endpoint === 'i-far')
   expect(line?.['why']).toMatch(/^leaves its region for south: no endpoint there takes it, the way \d+ of the cost$/)
 })
 
-it('the link lets no more across than this gateway\'s part, and refuses what then has no endpoint', async () => {
+it('the gateway sends no more than its share of the region link, and refuses requests that then have no endpoint', async () => {
   near.behaviour = notRun
   const { link } = deployment.gateway.get('crossings')
   link.take(1e9)
--- a/entry/gateway/test/smaller-side.test.ts
+++ b/entry/gateway/test/smaller-side.test.ts
@@ -1,4 +1,4 @@
-/** A region with two of five control processes, its gateway and its engine, before and after the other three are gone. */
+/** A region with two of five control processes, its gateways and its engine, before and after the other region fails. */
 import { afterAll, beforeAll, describe, expect, it } from 'vitest'
 import { request } from 'undici'
 import { freeAddresses, until } from '@gullwall/bench.deployment'
@@ -11,13 +11,13 @@
 const REGIONS = { n1: 'north', n2: 'north', n3: 'north', s1: 'south', s2: 'south', s3: 'south' }
 const CONTROLS = ['n1', 'n2', 'n3', 's1', 's2'] as const
 const COMMON = { linkKey: 'a-shared-key-for-loopback', logLevel: 'info' as const, admin: '127.0.0.1:0', regions: REGIONS }
-/** A box that joins is to be useful within this time, in ms. */
-const USEFUL_MS = 2000
+/** A box that joins must serve requests within this time, in ms. */
+const MAX_JOIN_MS = 2000
 
 const controls = new Map<string, Kernel<ControlServices>>()
 const gateways: Array<Kernel<GatewayServices>> = []
 const engine = new StandIn('i-south', 'app', undefined, 's3')
-const another = new StandIn('i-south-2', 'app', undefined, 's1')
+const laterEngine = new StandIn('i-south-2', 'app', undefined, 's1')
 let seeds: string[] = []
 let sequence = 0
 
@@ -67,7 +67,7 @@
   return found
 }
 
-async function beat (standIn: StandIn, state: 'ready' | 'draining' = 'ready'): Promise<void> {
+async function heartbeat (standIn: StandIn, state: 'ready' | 'draining' = 'ready'): Promise<void> {
   const { incarnation, service, address, dataCentre } = standIn
   sequence += 1
   await control('s1').get('registrar').hear({ incarnation, service, address, dataCentre, slots: 4, state, sequence, ageMs: 0 })
@@ -82,8 +82,8 @@
 async function put (version: number): Promise<void> {
   await until(`version ${version}`, async () => {
     for (const each of controls.values()) {
-      const taken = await each.get('documents').put(JSON.stringify(documentOf(version))).then(() => true, () => false)
-      if (taken) return true
+      const isStored = await each.get('documents').put(JSON.stringify(documentOf(version))).then(() => true, () => false)
+      if (isStored) return true
     }
     return false
   })
@@ -97,43 +97,43 @@
   seeds = await freeAddresses(CONTROLS.length)
   for (const [index, dataCentre] of CONTROLS.entries()) await startControl(dataCentre, seeds[index] ?? '')
   await until('five voters', () => [...controls.values()].every((each) => each.get('quorum').status().voters.length === 5))
-  for (const standIn of [engine, another]) await standIn.start()
+  for (const standIn of [engine, laterEngine]) await standIn.start()
   await put(1)
-  await beat(engine)
+  await heartbeat(engine)
 })
 afterAll(async () => {
   for (const gateway of gateways) await gateway.stop()
   for (const each of controls.values()) await each.stop()
-  for (const standIn of [engine, another]) standIn.stop()
+  for (const standIn of [engine, laterEngine]) standIn.stop()
 })
 
-describe('a gateway of the region with the fewer control processes', () => {
-  it('is useful soon after its start, and counts itself among those that share the budgets', async () => {
+describe('a gateway in the region with fewer control processes', () => {
+  it('serves requests soon after its start, and is counted among the entries that share the budgets', async () => {
     await startGateway('g-1')
     const startedAt = performance.now()
     const second = await startGateway('g-2')
     await until('an answer', async () => await statusOf(second) === 200)
     const tookMs = performance.now() - startedAt
-    console.log(`useful after ${Math.round(tookMs)} ms`)
-    expect(tookMs).toBeLessThan(USEFUL_MS)
-    await until('both are counted everywhere', () => gateways.every((gateway) => gateway.get('view').entries === 2))
+    console.log(`first answer after ${Math.round(tookMs)} ms`)
+    expect(tookMs).toBeLessThan(MAX_JOIN_MS)
+    await until('both gateways to be counted everywhere', () => gateways.every((gateway) => gateway.get('view').entries === 2))
   })
 
-  it('listens to a control process of its region', async () => {
+  it('exchanges load with a control process of its region', async () => {
     for (const gateway of gateways) {
-      // Until the links to its region are open it tells another process.
-      await until('it listens to the south', () => gateway.get('controlLinks').listened?.peer.dataCentre.startsWith('s') === true)
+      // It uses another control process until the links to its region are open.
+      await until('the link to the south', () => gateway.get('controlLinks').listened?.peer.dataCentre.startsWith('s') === true)
     }
   })
 
-  it('goes on serving when the other region is gone, while control there takes no order', async () => {
+  it('still serves requests after the other region fails, while control accepts no orders', async () => {
     for (const dataCentre of ['n1', 'n2', 'n3']) {
       await control(dataCentre).stop()
       controls.delete(dataCentre)
     }
     const [gateway] = gateways
     if (gateway === undefined) throw new Error('no gateway')
-    await until('the links are closed', () => gateway.get('controlLinks').openCount === 2)
+    await until('the links to be closed', () => gateway.get('controlLinks').openCount === 2)
     for (const each of controls.values()) {
       await expect(each.get('documents').put(JSON.stringify(documentOf(2)))).rejects.toMatchObject({ code: expect.stringMatching(/^ERR_GULLWALL_/) })
       await expect(each.get('documents').read()).rejects.toMatchObject({ code: expect.stringMatching(/^ERR_GULLWALL_/) })
@@ -144,13 +144,13 @@
     expect(gateway.get('view').entries).toBe(2)
   })
 
-  it('still learns there of endpoints that come and that leave, though their leaving is not acknowledged', async () => {
+  it('still receives new endpoints and draining ones, although the draining is not acknowledged', async () => {
     const [gateway] = gateways
     if (gateway === undefined) throw new Error('no gateway')
-    await beat(another)
-    await until('the new one is known', () => isUsable(gateway, another))
-    await expect(beat(another, 'draining')).rejects.toMatchObject({ code: 'ERR_GULLWALL_NO_QUORUM' })
-    await until('it gets nothing more', () => !isUsable(gateway, another))
+    await heartbeat(laterEngine)
+    await until('the new endpoint', () => isUsable(gateway, laterEngine))
+    await expect(heartbeat(laterEngine, 'draining')).rejects.toMatchObject({ code: 'ERR_GULLWALL_NO_QUORUM' })
+    await until('the draining', () => !isUsable(gateway, laterEngine))
     expect(await statusOf(gateway)).toBe(200)
   })
 })
--- a/entry/gateway/test/stand-in.ts
+++ b/entry/gateway/test/stand-in.ts
@@ -1,4 +1,4 @@
-/** A back end whose behaviour a test sets for each request, and a deployment of one control process and one gateway. */
+/** A stub endpoint whose behaviour a test sets for each request, and a deployment of one control process and one gateway. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { type AddressInfo } from 'node:net'
 import { freeAddresses, until } from '@gullwall/bench.deployment'
@@ -9,13 +9,13 @@
 
 export type Behaviour = (request: IncomingMessage, response: ServerResponse, body: string) => void
 
-/** One window holds all that a test does. */
+/** A single window contains all requests of a test. */
 export const USAGE_WINDOW_MS = 1_000_000_000_000
 const LINK_KEY = 'a-shared-key-for-loopback'
 const ANY_ADDRESS = '127.0.0.1:0'
 const REGIONS = { dc1: 'north', dc2: 'south', dc3: 'west' }
 
-/** Answers as the service that it stands for. */
+/** Answers with the method, path and body of the request. */
 export const answerWell: Behaviour = (request, response, body) => {
   response.writeHead(200, { 'x-gullwall-request-id': String(request.headers['x-gullwall-request-id'] ?? '') })
   response.end(`${request.method} ${request.url} ${body}`)
@@ -26,6 +26,7 @@
   /** The ids of the requests that arrived. */
   readonly arrived: string[] = []
   readonly headers: IncomingMessage['headers'][] = []
+  /** Number of requests whose connection was closed before the answer was complete. */
   left = 0
   private readonly server: Server
 
@@ -60,6 +61,7 @@
 export class GatewayDeployment {
   control!: Kernel<ControlServices>
   gateway!: Kernel<GatewayServices>
+  /** The log lines of all gateways. */
   readonly lines: string[] = []
 
   constructor (private readonly standIns: readonly StandIn[], private readonly regions: Record<string, string> = REGIONS) {}
@@ -98,7 +100,7 @@
     await this.gateway.start()
   }
 
-  /** Has a document accepted and waits until it is in force. */
+  /** Stores a document and waits until the gateway has applied it and is ready. */
   async configure (version: number, limits: RegionLists = {}, service: object = {}): Promise<void> {
     await until('a leader', () => this.control.get('quorum').role === 'leader')
     await this.control.get('documents').put(JSON.stringify(documentOf(version, limits, service)))
@@ -106,19 +108,20 @@
     await until('readiness', () => this.gateway.get('controlLinks').notReady() === undefined)
   }
 
+  /** Reports an endpoint to control and waits until the gateway uses it, or no longer uses it. */
   async register (standIn: StandIn, state: 'ready' | 'draining' = 'ready', sequence = 1, coldMs?: number): Promise<void> {
     const { incarnation, service, address, dataCentre } = standIn
     await this.control.get('registrar').hear({
       incarnation, service, address, dataCentre, slots: 4, state, sequence, coldMs, ageMs: 0
     })
-    const wanted = state === 'ready'
+    const shouldBeUsable = state === 'ready'
     const isUsable = () => (
       this.gateway.get('view').usable(standIn.service).some(({ description }) => description.incarnation === standIn.incarnation)
     )
-    await until(`${standIn.incarnation} ${state}`, () => isUsable() === wanted)
+    await until(`${standIn.incarnation} ${state}`, () => isUsable() === shouldBeUsable)
   }
 
-  /** Starts another gateway before the same endpoints; the test stops it. */
+  /** Starts another gateway with the same endpoints; the test must stop it. */
   async startGateway (box: string): Promise<Kernel<GatewayServices>> {
     const gateway = createGateway({ ...this.gateway.get('settings'), box }, { write: (line) => this.lines.push(line) })
     await gateway.start()
@@ -130,7 +133,7 @@
     return `http://${this.gateway.get('ingress').address}${path}`
   }
 
-  /** The log lines of one request. */
+  /** Returns the log lines of one request. */
   story (requestId: string): Array<Record<string, unknown>> {
     return this.lines.map((line) => JSON.parse(line) as Record<string, unknown>).filter((record) => record['requestId'] === requestId)
   }
--- a/entry/gateway/test/suspended.test.ts
+++ b/entry/gateway/test/suspended.test.ts
@@ -1,4 +1,4 @@
-/** A gateway that was suspended while it had a request in hand: the steady clock did not count that time. */
+/** A gateway whose box was suspended during a request: the monotonic clock did not count that time. */
 import { afterAll, afterEach, beforeAll, describe, expect, it, vi } from 'vitest'
 import { request } from 'undici'
 import { suspensions } from '@gullwall/core.clock'
@@ -6,7 +6,7 @@
 import { answerWell, GatewayDeployment, StandIn } from './stand-in.ts'
 
 const SLEPT_MS = 5000
-/** Of the route; the time that the caller gives is longer. */
+/** The timeout of the route. */
 const TIMEOUT_MS = 1500
 
 const standIns = [new StandIn('i-1', 'app'), new StandIn('i-2', 'app')]
@@ -30,14 +30,14 @@
 }
 
 describe('a request', () => {
-  it('that arrives after a suspension has all of its time', async () => {
+  it('that arrives after a suspension has its full time', async () => {
     vi.spyOn(suspensions, 'slept').mockReturnValue(SLEPT_MS)
     expect(await send('after')).toBe(200)
-    const told = standIns.flatMap(({ headers }) => headers).map((headers) => Number(headers['x-gullwall-wait-ms'])).at(-1) ?? 0
-    expect(told).toBeGreaterThan(TIMEOUT_MS / 2)
+    const remainingMs = standIns.flatMap(({ headers }) => headers).map((headers) => Number(headers['x-gullwall-wait-ms'])).at(-1) ?? 0
+    expect(remainingMs).toBeGreaterThan(TIMEOUT_MS / 2)
   })
 
-  it('that was in hand during one is not sent on with time that it no longer has', async () => {
+  it('that was in flight during a suspension is not sent again after its deadline', async () => {
     const slept = vi.spyOn(suspensions, 'slept').mockReturnValue(0)
     let runs = 0
     for (const standIn of standIns) {
@@ -47,13 +47,13 @@
         incoming.socket.destroy()
       }
     }
-    expect(await send('in hand')).toBe(504)
+    expect(await send('in flight')).toBe(504)
     expect(runs).toBe(1)
   })
 })
 
 describe('a grant', () => {
-  it('that was noted before a suspension has ended with it', () => {
+  it('that was received before a suspension has expired after it', () => {
     let slept = 0
     const purse = new GrantPurse(() => slept)
     purse.add('i-1', { requests: 2, until: 500 }, 0)
--- a/entry/gateway/test/usage-teller.test.ts
+++ b/entry/gateway/test/usage-teller.test.ts
@@ -6,13 +6,13 @@
 import { UsageTeller } from '../src/usage-teller.ts'
 import { answerWell, GatewayDeployment, StandIn, USAGE_WINDOW_MS, type Behaviour } from './stand-in.ts'
 
-const TELL_MS = 1000
+const INTERVAL_MS = 1000
 
 class FakeLink {
-  readonly told: UsageWindow[][] = []
+  readonly sent: UsageWindow[][] = []
 
   send (message: Message): boolean {
-    if (message.kind === 'usage') this.told.push(message.windows)
+    if (message.kind === 'usage') this.sent.push(message.windows)
     return true
   }
 
@@ -21,32 +21,32 @@
   }
 }
 
-describe('what a gateway tells of usage', () => {
+describe('the usage reports of a gateway', () => {
   beforeEach(() => {
     vi.useFakeTimers()
     return () => vi.useRealTimers()
   })
 
-  it('is told again as a whole where another control process is told, and once more before the end', () => {
+  it('contain all counts after a change of the control process, and are sent once more before the stop', () => {
     const links = [new FakeLink(), new FakeLink()]
     let listened: Link | undefined = links[0]?.asLink
     const controlLinks = { get listened () { return listened } }
-    const teller = new UsageTeller({ settings: { usageWindowMs: USAGE_WINDOW_MS }, controlLinks } as never)
-    teller.start()
-    teller.noteBegun('a', performance.now())
-    vi.advanceTimersByTime(TELL_MS)
-    vi.advanceTimersByTime(TELL_MS)
-    expect(links[0]?.told).toMatchObject([[{ counts: [{ organisation: 'a', begun: 1 }] }]])
+    const reporter = new UsageTeller({ settings: { usageWindowMs: USAGE_WINDOW_MS }, controlLinks } as never)
+    reporter.start()
+    reporter.noteBegun('a', performance.now())
+    vi.advanceTimersByTime(INTERVAL_MS)
+    vi.advanceTimersByTime(INTERVAL_MS)
+    expect(links[0]?.sent).toMatchObject([[{ counts: [{ organisation: 'a', begun: 1 }] }]])
     listened = links[1]?.asLink
-    vi.advanceTimersByTime(TELL_MS)
-    expect(links[1]?.told).toMatchObject([[{ counts: [{ organisation: 'a', begun: 1 }] }]])
-    teller.noteBegun('a', performance.now())
-    teller.stop()
-    expect(links[1]?.told.at(-1)).toMatchObject([{ counts: [{ organisation: 'a', begun: 2 }] }])
+    vi.advanceTimersByTime(INTERVAL_MS)
+    expect(links[1]?.sent).toMatchObject([[{ counts: [{ organisation: 'a', begun: 1 }] }]])
+    reporter.noteBegun('a', performance.now())
+    reporter.stop()
+    expect(links[1]?.sent.at(-1)).toMatchObject([{ counts: [{ organisation: 'a', begun: 2 }] }])
   })
 })
 
-describe('requests that count as begun', () => {
+describe('the requests that count as begun', () => {
   const standIn = new StandIn('i-only', 'app')
   const deployment = new GatewayDeployment([standIn])
   let ids = 0
@@ -78,7 +78,7 @@
     response.end('id: 1\ndata: 1\n\nid: 2\ndata: 2\n\n')
   }
 
-  it('are those that an endpoint ran, each once: calls when they were sent, streams with their first event', async () => {
+  it('are those that an endpoint ran, each once: calls when they are sent, streams at their first event', async () => {
     await call('/look-up/1', answerWell)
     await call('/scan/1', stream)
     await call('/order/1', notRun)
--- a/entry/gateway/test/work-exchange.test.ts
+++ b/entry/gateway/test/work-exchange.test.ts
@@ -5,73 +5,73 @@
 import { type GatewayServices } from '../src/index.ts'
 import { WorkExchange } from '../src/work-exchange.ts'
 
-function exchangeWith (endpoint: EndpointState): { exchange: WorkExchange, told: WorkWord[] } {
-  const told: WorkWord[] = []
+function exchangeWith (endpoint: EndpointState): { exchange: WorkExchange, reports: WorkWord[] } {
+  const reports: WorkWord[] = []
   const services = {
     settings: { box: 'edge-1' },
     view: { busy: () => [endpoint], get: (incarnation: string) => incarnation === 'i' ? endpoint : undefined, wake: () => {} },
-    controlLinks: { tellWork: (word: WorkWord) => { told.push(word); return true } }
+    controlLinks: { tellWork: (report: WorkWord) => { reports.push(report); return true } }
   } as unknown as GatewayServices
-  return { exchange: new WorkExchange(services), told }
+  return { exchange: new WorkExchange(services), reports }
 }
 
-describe('the word of what an entry has under way', () => {
+describe('the load summary of an entry', () => {
   const endpoint = () => new EndpointState({ incarnation: 'i', service: 's', address: '127.0.0.1:1', dataCentre: 'east', slots: 64 })
 
-  it('goes out at once for a prompt that takes long to read, without any timer', async () => {
+  it('is sent at once for a large prompt, without a timer', async () => {
     const state = endpoint()
-    const { exchange, told } = exchangeWith(state)
+    const { exchange, reports } = exchangeWith(state)
     state.begin({ prompt: [], unreadTokens: 5000, urgency: 3, strain: 0, isSensitive: false }, performance.now())
     exchange.noteSent(5000)
     await nextTurn()
-    expect(told).toMatchObject([{ works: [{ incarnation: 'i', unread: [{ urgency: 3, tokens: 5000 }], running: 1 }] }])
+    expect(reports).toMatchObject([{ works: [{ incarnation: 'i', unread: [{ urgency: 3, tokens: 5000 }], running: 1 }] }])
   })
 
-  it.each(['unreachable', 'ended'] as const)('goes out at once for an endpoint that is %s', async (verdict) => {
+  it.each(['unreachable', 'ended'] as const)('is sent at once if an endpoint is %s', async (verdict) => {
     const state = endpoint()
-    const { exchange, told } = exchangeWith(state)
+    const { exchange, reports } = exchangeWith(state)
     const work = state.begin({ prompt: [], unreadTokens: 500, urgency: 3, strain: 0, isSensitive: false }, performance.now())
     state.end(work, verdict, performance.now())
     exchange.noteUnreachable()
     await nextTurn()
-    expect(told).toMatchObject([{ works: [{ incarnation: 'i', running: 0, unreachable: 1 }] }])
+    expect(reports).toMatchObject([{ works: [{ incarnation: 'i', running: 0, unreachable: 1 }] }])
   })
 
-  it('waits for the next look for a short one', async () => {
+  it('is not sent before the next tick for a small prompt', async () => {
     const state = endpoint()
-    const { exchange, told } = exchangeWith(state)
+    const { exchange, reports } = exchangeWith(state)
     state.begin({ prompt: [], unreadTokens: 500, urgency: 3, strain: 0, isSensitive: false }, performance.now())
     exchange.noteSent(500)
     await nextTurn()
-    expect(told).toEqual([])
+    expect(reports).toEqual([])
   })
 
-  it('tells what was seen of how an engine reads once, and takes what control has learnt', async () => {
+  it('contains each observation of an engine once, and the readings of control are adopted', async () => {
     const state = endpoint()
-    const { exchange, told } = exchangeWith(state)
+    const { exchange, reports } = exchangeWith(state)
     state.reading.sample(10_000, 0)
     state.reading.notePause(320, -1)
     exchange.noteUnreachable()
     await nextTurn()
-    expect(told[0]?.observations).toEqual([{ incarnation: 'i', pauses: [320], reads: [] }])
+    expect(reports[0]?.observations).toEqual([{ incarnation: 'i', pauses: [320], reads: [] }])
     expect(state.reading.takeSeen()).toBeUndefined()
     exchange.learn({ kind: 'readings', readings: [{ incarnation: 'i', tokensPerMs: 20, pauseMs: 330 }] })
     expect(state.reading).toMatchObject({ tokensPerMs: 20, pauseMs: 330 })
   })
 
-  it('keeps a bounded number of holdings while nobody can be told', async () => {
+  it('contains a bounded number of holdings after control was unreachable', async () => {
     const state = endpoint()
-    const { exchange, told } = exchangeWith(state)
+    const { exchange, reports } = exchangeWith(state)
     for (let sent = 0; sent < 1500; sent += 1) {
       exchange.noteSending(state, [{ id: `subject-${sent}`, tokens: 13_000 }, { id: 'own', tokens: 10 }])
     }
     exchange.noteUnreachable()
     await nextTurn()
-    expect(told[0]?.holdings).toHaveLength(1000)
-    expect(told[0]?.holdings.at(-1)?.parts[0]?.id).toBe('subject-1499')
+    expect(reports[0]?.holdings).toHaveLength(1000)
+    expect(reports[0]?.holdings.at(-1)?.parts[0]?.id).toBe('subject-1499')
   })
 
-  it('takes the sums of the others as they are told, until a whole word leaves an endpoint out', () => {
+  it('of the other entries is kept until a whole message omits the endpoint', () => {
     const state = endpoint()
     const { exchange } = exchangeWith(state)
     const work = { incarnation: 'i', unread: [{ urgency: 3, tokens: 700 }], running: 5, strain: 1.5, sensitive: 0, unreachable: 0 }
