--- a/entry/gateway/src/cold-engines.ts
+++ b/entry/gateway/src/cold-engines.ts
@@ -54,7 +54,7 @@
   readonly totals: ColdTotals = { kept: 0, sent: 0 }
   readonly asker: GrantAsker
   private readonly purse: GrantPurse
-  /** By incarnation. */
+  /** Whether each endpoint is cold, by incarnation. */
   private readonly states = new Map<string, Warmth>()
   /** When the first endpoint of each service was found. */
   private readonly discoveredAt = new Map<string, number>()
@@ -174,7 +174,10 @@
     return warmth
   }
 
-  /** An endpoint that is found later than others has probably just started; without a reported cold time it is assumed cold. */
+  /**
+   * Creates the state of an endpoint that was not known before. An endpoint that is found later than others of its service has
+   * probably just started, so it is assumed to be cold unless it reports its cold time.
+   */
   private createState ({ incarnation, service, coldMs }: HeldLease, { startMs }: ColdLimit, now: number): Warmth {
     const warmth = new Warmth()
     this.states.set(incarnation, warmth)
--- a/entry/gateway/src/control-links.ts
+++ b/entry/gateway/src/control-links.ts
@@ -64,7 +64,7 @@
     this.dialAll(addresses)
   }
 
-  /** Closes the links to control processes whose addresses have expired, and stops dialling them. */
+  /** Stops dialling the control processes whose addresses have expired. */
   forgetControls (now: number): void {
     const linked = this.links().map(({ address }) => address)
     for (const address of this.addresses.takeForgotten(linked, now)) {
--- a/entry/gateway/src/deployment-view.ts
+++ b/entry/gateway/src/deployment-view.ts
@@ -53,7 +53,7 @@
   /** The endpoints by service and by state, for the choice of an endpoint. */
   readonly index = new EndpointIndex()
   private readonly endpoints = new Map<string, EndpointState>()
-  /** Incarnations without a lease, or whose lease is gone; they are removed once they have no requests in flight. */
+  /** Incarnations whose lease is missing or gone; they are removed once they have no requests in flight. */
   private readonly gone = new Set<string>()
   /** Position of the scan over all endpoints. */
   private scan: Iterator<EndpointState> | undefined
--- a/entry/gateway/src/dialect.ts
+++ b/entry/gateway/src/dialect.ts
@@ -8,7 +8,7 @@
 /** What the headers of a caller's request state. */
 export interface CallHead {
   requestId: string
-  /** How long the caller waits for the answer, in ms; undefined if it does not say. */
+  /** How long the caller waits for the answer, in ms; undefined if the headers do not state it. */
   waitMs: number | undefined
   /** The id of the last event that the caller has received, if it resumes a stream. */
   lastEventId: string | undefined
--- a/entry/gateway/src/listening-choice.ts
+++ b/entry/gateway/src/listening-choice.ts
@@ -43,7 +43,7 @@
     return [...links].sort((left, right) => distanceRank(left) - distanceRank(right))
   }
 
-  /** Whether a control process is known to receive load summaries from less than a majority. */
+  /** Whether a control process is known to reach at most half of all control processes, itself included. */
   private isDisconnected (link: Link, controls: number, now: number): boolean {
     const known = this.coverage.get(link)
     if (known === undefined || now - known.reportedAt > VALID_MS) return false
--- a/entry/gateway/src/region-crossings.ts
+++ b/entry/gateway/src/region-crossings.ts
@@ -4,7 +4,7 @@
 import { type Call } from './call.ts'
 import { type GatewayMetrics } from './metrics.ts'
 
-/** The headers of a request and of its answer together. */
+/** Assumed size of the headers of a request and of its answer together. */
 const HEAD_BYTES = 800
 /** Assumed size of an answer until its route has had one. */
 const DEFAULT_ANSWER_BYTES = 1000
--- a/entry/gateway/src/usage-teller.ts
+++ b/entry/gateway/src/usage-teller.ts
@@ -1,4 +1,4 @@
-/** Counts the requests that began to run by organisation, and reports the counts to control. */
+/** Counts for each organisation the requests that began to run, and reports the counts to control. */
 import { SteadyWallClock, UsageCounter, windowAt } from '@gullwall/control.usage'
 import { type Link } from '@gullwall/transport.link'
 import { type GatewayServices } from './index.ts'
--- a/entry/gateway/src/warmth.ts
+++ b/entry/gateway/src/warmth.ts
@@ -21,7 +21,7 @@
   isCold = false
   /** Until when the endpoint is cold, as of the last update. */
   coldUntil = -Infinity
-  /** Why the endpoint is considered cold, or was when it last was. */
+  /** Why the endpoint is cold, or why it was when it was last cold. */
   why = ''
   private warmSince = -Infinity
   private assumption: Assumption | undefined
@@ -51,7 +51,7 @@
   }
 }
 
-/** The share of the requests that an endpoint receives after its ramp-up started; it grows to 1. */
+/** The share of the requests that an endpoint receives after its ramp-up started; it grows to 1. Without a ramp-up it is 1. */
 export function rampShare (startedAt: number | undefined, now: number): number {
   return startedAt === undefined ? 1 : Math.min(1, RAMP_START_SHARE + (1 - RAMP_START_SHARE) * (now - startedAt) / RAMP_MS)
 }
--- a/entry/gateway/src/work-exchange.ts
+++ b/entry/gateway/src/work-exchange.ts
@@ -9,7 +9,7 @@
 const LARGE_PROMPT_TOKENS = 1500
 /** Minimum interval between such immediate reports, in ms. */
 const MIN_INTERVAL_MS = 20
-/** Interval at which an unchanged load is sent again, in ms: control forgets a load, and the entry that sent it, unless it is repeated. */
+/** Interval at which an unchanged load is sent again, in ms: control discards a load that is not repeated. */
 const REPEAT_MS = 1000
 /** The load of the other entries expires this long after the last message, in ms; messages arrive at least once a second. */
 const VALID_MS = 2500
--- a/entry/gateway/test/allowed-regions.fuzz.test.ts
+++ b/entry/gateway/test/allowed-regions.fuzz.test.ts
@@ -131,9 +131,8 @@
     } as unknown as GatewayServices
     const call = callUnder(documentOf(1, limitsAtArrival, isPublic), tier)
     const history = new AttemptHistory(call)
-    const allowedLists = [limitsAtArrival, ...(isNewer ? [currentLimits] : [])].flatMap(({ route, organisation }) => (
-      [route ?? ALL_REGIONS, organisation ?? ALL_REGIONS]
-    ))
+    const allowedLists = [limitsAtArrival, ...(isNewer ? [currentLimits] : [])]
+      .flatMap(({ route, organisation }) => [route ?? ALL_REGIONS, organisation ?? ALL_REGIONS])
     const known = new Regions(regions)
     const isAllowed = ({ description }: EndpointState) => (
       allowedLists.every((allowed) => allowed.includes(known.regionOf(description.dataCentre)))
--- a/entry/gateway/test/cold-together.test.ts
+++ b/entry/gateway/test/cold-together.test.ts
@@ -9,7 +9,7 @@
 const TICK_MS = 10
 const SECONDS = 10
 /** Requests are counted from this time on: control grants nothing for an endpoint when it is first requested. */
-const WARM_UP_MS = 2000
+const COUNT_START_MS = 2000
 const SEED = Number(process.env['FUZZ_SEED'] ?? 3)
 
 interface Scenario {
@@ -84,7 +84,7 @@
   }
 
   private get isCounted (): boolean {
-    return performance.now() - this.startedAt > WARM_UP_MS
+    return performance.now() - this.startedAt > COUNT_START_MS
   }
 
   private arrive (box: Box): void {
--- a/entry/gateway/test/evacuation.test.ts
+++ b/entry/gateway/test/evacuation.test.ts
@@ -46,7 +46,7 @@
 
 async function applyOrder (dataCentre: string, isEvacuated: boolean): Promise<void> {
   await order(dataCentre, isEvacuated)
-  await until('the order to apply', () => evacuations().isEvacuated(dataCentre) === isEvacuated)
+  await until('the order to be applied', () => evacuations().isEvacuated(dataCentre) === isEvacuated)
 }
 
 /** Returns the log line of the first attempt of a request. */
@@ -233,7 +233,7 @@
   const firstCut = vi.spyOn(deployment.gateway.get('spreader'), 'receive').mockReturnValue(true)
   await order('dc2', true)
   firstCut.mockRestore()
-  await until('the order to apply', () => evacuations().isEvacuated('dc2'))
+  await until('the order to be applied', () => evacuations().isEvacuated('dc2'))
   const before = far.arrived.length
   for (let turn = 0; turn < 5; turn += 1) await call(`/look-up/${turn}`)
   expect(far.arrived.length).toBe(before)
