--- a/entry/gateway/src/cold-engines.ts
+++ b/entry/gateway/src/cold-engines.ts
@@ -137,7 +137,7 @@
   /** Describes for the log how many cold endpoints were excluded for a request; empty if none were. */
   noteOf (call: Call): string {
     const excluded = this.excluded.get(call)
-    return excluded === undefined ? '' : `; cold endpoints excluded for lack of a grant: ${excluded.size}`
+    return excluded === undefined ? '' : `; excluded cold endpoints without a grant: ${excluded.size}`
   }
 
   /**
--- a/entry/gateway/test/cold-engines.test.ts
+++ b/entry/gateway/test/cold-engines.test.ts
@@ -24,7 +24,7 @@
     expect(box.eligible(call)).toEqual([warm])
     expect(box.whyNot(cold, call)).toMatch(/^cold, and no grant is available \(reported 0 ms ago: cold for 5000 ms\)/)
     expect(box.engines.take(cold)).toBe(false)
-    expect(box.engines.noteOf(call)).toBe('; cold endpoints excluded for lack of a grant: 1')
+    expect(box.engines.noteOf(call)).toBe('; excluded cold endpoints without a grant: 1')
     expect(box.engines.noteOf(box.call())).toBe('')
     await settle()
     expect(box.asked).toEqual([[{ incarnation: 'i-cold', service: 'lm', requests: 2 }]])
--- a/entry/gateway/test/cold-path.test.ts
+++ b/entry/gateway/test/cold-path.test.ts
@@ -29,7 +29,7 @@
     const reply = await call()
     expect(reply).toMatchObject({ status: 503, headers: { 'retry-after': expect.any(String) as string } })
     expect(reply.text).toContain('no endpoint may have it: cold, and no grant is available')
-    expect(deployment.story(reply.id).at(-1)).toMatchObject({ decision: 'refuse', why: expect.stringContaining('cold endpoints excluded for lack of a grant: 1') as string })
+    expect(deployment.story(reply.id).at(-1)).toMatchObject({ decision: 'refuse', why: expect.stringContaining('excluded cold endpoints without a grant: 1') as string })
     expect(cold.arrived).toEqual([])
   })
 
@@ -44,7 +44,7 @@
     const replies = await Promise.all(Array.from({ length: 40 }, call))
     expect(replies.filter(({ status }) => status === 200)).toHaveLength(40)
     expect(cold.arrived.length).toBeLessThanOrEqual(10)
-    const redirected = replies.flatMap(({ id }) => deployment.story(id)).filter(({ why }) => String(why).endsWith('; cold endpoints excluded for lack of a grant: 1'))
+    const redirected = replies.flatMap(({ id }) => deployment.story(id)).filter(({ why }) => String(why).endsWith('; excluded cold endpoints without a grant: 1'))
     expect(redirected.length).toBeGreaterThan(0)
   })
 
