--- a/entry/gateway/src/cold-engines.ts
+++ b/entry/gateway/src/cold-endpoints.ts
@@ -4,15 +4,15 @@
  * disconnected from control.
  */
 import { type ColdLimit } from '@gullwall/config.document'
-import { type HeldLease } from '@gullwall/control.registry'
+import { type KnownLease } from '@gullwall/control.registry'
 import { type Logger } from '@gullwall/core.logger'
-import { type EndpointState, rankOf } from '@gullwall/routing.balancer'
-import { type Grant, type GrantWish } from '@gullwall/transport.messages'
+import { type EndpointState, hashName } from '@gullwall/routing.balancer'
+import { type Grant, type GrantRequest } from '@gullwall/transport.messages'
 import { type Call } from './call.ts'
-import { GrantAsker } from './grant-asker.ts'
-import { type GrantPurse } from './grant-purse.ts'
+import { GrantRequester } from './grant-requester.ts'
+import { type GrantPool } from './grant-pool.ts'
 import { type EndpointRule } from './eligibility.ts'
-import { RAMP_MS, rampShare, Warmth } from './warmth.ts'
+import { RAMP_MS, rampShare, WarmUpState } from './warm-up-state.ts'
 
 /** Endpoints that are found within this time after the first endpoint of their service are assumed to have run before, in ms. */
 const DISCOVERY_MS = 1000
@@ -21,41 +21,41 @@
 /** Number of different ranks: a rank has 32 bits. */
 const RANK_COUNT = 2 ** 32
 
-export interface ColdEnginesOptions {
+export interface ColdEndpointsOptions {
   box: string
   logger: Logger
-  leaseOf: (incarnation: string) => HeldLease | undefined
+  leaseOf: (incarnation: string) => KnownLease | undefined
   /** The request limit for the cold endpoints of a service; undefined if they can serve as many requests as warm ones. */
-  limitOf: (service: string) => ColdLimit | undefined
+  coldLimitOf: (service: string) => ColdLimit | undefined
   /** Returns all known endpoints. */
   endpoints: () => readonly EndpointState[]
   /** Returns the number of entries in the deployment. */
-  entries: () => number
+  entryCount: () => number
   /** Requests grants from control. */
-  ask: (wishes: GrantWish[]) => Promise<Grant[]>
+  requestGrants: (wishes: GrantRequest[]) => Promise<Grant[]>
   /** Wakes the requests that wait for an endpoint. */
   wake: () => void
   /** The grants of this box, both for cold endpoints and for endpoints with a rate limit. */
-  purse: GrantPurse
+  grantPool: GrantPool
   /** The rate limit that an endpoint has advertised, in requests a second; undefined if it has none. */
-  namedLimitOf?: (incarnation: string) => number | undefined
+  advertisedLimitOf?: (incarnation: string) => number | undefined
   now?: () => number
 }
 
 /** Counters since the start, for the metrics. */
 export interface ColdTotals {
   /** Requests for which a cold endpoint was excluded at least once. */
-  kept: number
+  excluded: number
   /** Requests sent to cold endpoints under a grant. */
   sent: number
 }
 
-export class ColdEngines {
-  readonly totals: ColdTotals = { kept: 0, sent: 0 }
-  readonly asker: GrantAsker
-  private readonly purse: GrantPurse
+export class ColdEndpoints {
+  readonly totals: ColdTotals = { excluded: 0, sent: 0 }
+  readonly grantRequester: GrantRequester
+  private readonly purse: GrantPool
   /** Whether each endpoint is cold, by incarnation. */
-  private readonly states = new Map<string, Warmth>()
+  private readonly states = new Map<string, WarmUpState>()
   /** When the first endpoint of each service was found. */
   private readonly discoveredAt = new Map<string, number>()
   /** The incarnations of the cold endpoints that were excluded for each request. */
@@ -67,11 +67,11 @@
   private readonly now: () => number
   private timer: NodeJS.Timeout | undefined
 
-  constructor (private readonly options: ColdEnginesOptions) {
+  constructor (private readonly options: ColdEndpointsOptions) {
     this.now = options.now ?? (() => performance.now())
-    const { box, logger, ask, wake, entries, purse, namedLimitOf } = options
-    this.purse = purse
-    this.asker = new GrantAsker({ box, logger, ask, wake, entries, namedLimitOf, now: this.now, purse })
+    const { box, logger, requestGrants, wake, entryCount, grantPool, advertisedLimitOf } = options
+    this.purse = grantPool
+    this.grantRequester = new GrantRequester({ box, logger, requestGrants, wake, entryCount, advertisedLimitOf, now: this.now, grantPool })
   }
 
   start (): void {
@@ -80,7 +80,7 @@
 
   stop (): void {
     clearInterval(this.timer)
-    this.asker.stop()
+    this.grantRequester.stop()
   }
 
   /** Excludes cold endpoints while this box has no grant for them, and requests one. */
@@ -89,15 +89,15 @@
     const warmth = this.updateState(endpoint, now)
     if (warmth?.isCold !== true) return undefined
     const { incarnation, service } = endpoint.description
-    this.asker.noteRequest(service, call)
-    if (this.purse.left(incarnation, now) > 0) return undefined
-    this.asker.wish({ incarnation, service })
+    this.grantRequester.recordRequest(service, call)
+    if (this.purse.countAvailable(incarnation, now) > 0) return undefined
+    this.grantRequester.requestGrant({ incarnation, service })
     this.recordExcluded(call, incarnation)
     return `cold, and no grant is available (${warmth.why})`
   }
 
   /** Starts the ramp-up of an endpoint whose rate limit has ended. */
-  noteReopened (incarnation: string): void {
+  recordReopened (incarnation: string): void {
     const now = this.now()
     this.reopenedAt.set(incarnation, now)
     this.rampEndsAt = now + RAMP_MS
@@ -107,10 +107,10 @@
    * Selects from the eligible endpoints of a request. Endpoints that have just turned warm, or whose rate limit has just ended,
    * are selected for a growing share of the requests.
    */
-  preferred (endpoints: readonly EndpointState[], call: Call): readonly EndpointState[] {
+  selectPreferred (endpoints: readonly EndpointState[], call: Call): readonly EndpointState[] {
     const now = this.now()
     if (now >= this.rampEndsAt) return endpoints
-    const draw = rankOf(call.requestId) / RANK_COUNT
+    const draw = hashName(call.requestId) / RANK_COUNT
     const selected = endpoints.filter(({ description: { incarnation } }) => {
       const warmth = this.states.get(incarnation)
       const isWarmEnough = warmth === undefined || warmth.isCold || draw < warmth.shareAt(now)
@@ -126,16 +126,16 @@
   }
 
   /** Uses a grant for a request that is about to be sent. Returns false if the endpoint is cold and no grant is left. */
-  take (endpoint: EndpointState): boolean {
+  tryTakeGrant (endpoint: EndpointState): boolean {
     const now = this.now()
     if (this.updateState(endpoint, now)?.isCold !== true) return true
-    if (!this.purse.take(endpoint.description.incarnation, now)) return false
+    if (!this.purse.tryTake(endpoint.description.incarnation, now)) return false
     this.totals.sent += 1
     return true
   }
 
   /** Describes for the log how many cold endpoints were excluded for a request; empty if none were. */
-  noteOf (call: Call): string {
+  describeExcluded (call: Call): string {
     const excluded = this.excluded.get(call)
     return excluded === undefined ? '' : `; excluded cold endpoints without a grant: ${excluded.size}`
   }
@@ -147,10 +147,10 @@
   assumeCold (dataCentre: string, now = this.now()): void {
     for (const endpoint of this.options.endpoints()) {
       const { description } = endpoint
-      const startMs = description.dataCentre === dataCentre ? this.options.limitOf(description.service)?.startMs : undefined
+      const startMs = description.dataCentre === dataCentre ? this.options.coldLimitOf(description.service)?.startMs : undefined
       if (startMs === undefined) continue
       this.updateState(endpoint, now)
-      this.states.get(description.incarnation)?.assume({ since: now, until: now + startMs, why: 'its data centre received no requests' })
+      this.states.get(description.incarnation)?.assumeCold({ since: now, until: now + startMs, why: 'its data centre received no requests' })
     }
   }
 
@@ -161,14 +161,14 @@
   }
 
   /** Updates the state of an endpoint from its lease; undefined if it has no lease or its service has no limit for cold endpoints. */
-  private updateState ({ description }: EndpointState, now: number): Warmth | undefined {
+  private updateState ({ description }: EndpointState, now: number): WarmUpState | undefined {
     const { incarnation, service } = description
-    const limit = this.options.limitOf(service)
+    const limit = this.options.coldLimitOf(service)
     if (limit === undefined) return undefined
     const lease = this.options.leaseOf(incarnation)
     if (lease === undefined) return undefined
     const warmth = this.states.get(incarnation) ?? this.createState(lease, limit, now)
-    if (!warmth.look(lease, now)) return warmth
+    if (!warmth.update(lease, now)) return warmth
     this.logTransition(lease, warmth, now)
     if (!warmth.isCold) this.rampEndsAt = now + RAMP_MS
     return warmth
@@ -178,13 +178,13 @@
    * Creates the state of an endpoint that was not known before. An endpoint that is found later than others of its service has
    * probably just started, so it is assumed to be cold unless it reports its cold time.
    */
-  private createState ({ incarnation, service, coldMs }: HeldLease, { startMs }: ColdLimit, now: number): Warmth {
-    const warmth = new Warmth()
+  private createState ({ incarnation, service, coldMs }: KnownLease, { startMs }: ColdLimit, now: number): WarmUpState {
+    const warmth = new WarmUpState()
     this.states.set(incarnation, warmth)
     const discoveredAt = this.discoveredAt.get(service) ?? now
     this.discoveredAt.set(service, discoveredAt)
     const isNew = now - discoveredAt > DISCOVERY_MS
-    if (isNew && coldMs === undefined) warmth.assume({ since: now, until: now + startMs, why: 'it is new and reports no cold time' })
+    if (isNew && coldMs === undefined) warmth.assumeCold({ since: now, until: now + startMs, why: 'it is new and reports no cold time' })
     return warmth
   }
 
@@ -195,7 +195,7 @@
       return
     }
     this.excluded.set(call, new Set([incarnation]))
-    this.totals.kept += 1
+    this.totals.excluded += 1
   }
 
   private sweep (): void {
@@ -205,12 +205,12 @@
       if (this.options.leaseOf(incarnation) !== undefined) continue
       this.states.delete(incarnation)
       this.purse.forget(incarnation)
-      this.asker.forget(incarnation)
+      this.grantRequester.forget(incarnation)
     }
   }
 
-  private logTransition ({ incarnation, service, heardAt }: HeldLease, { isCold, why, coldUntil }: Warmth, now: number): void {
-    const age = `last report ${Math.round(now - heardAt)} ms old`
+  private logTransition ({ incarnation, service, receivedAt }: KnownLease, { isCold, why, coldUntil }: WarmUpState, now: number): void {
+    const age = `last report ${Math.round(now - receivedAt)} ms old`
     const state = isCold ? `cold for another ${Math.round(coldUntil - now)} ms: ${why}` : `its cold time is over, ${age}`
     this.options.logger.info({ channel: 'endpoint', event: isCold ? 'cold' : 'warm', endpoint: incarnation, why: `${service}: ${state}` })
   }
--- a/entry/gateway/src/control-addresses.ts
+++ b/entry/gateway/src/control-addresses.ts
@@ -11,19 +11,19 @@
   private readonly announcedAt = new Map<string, number>()
 
   /** Replaces the addresses from the settings. Addresses from earlier settings expire unless they are still announced or linked. */
-  noteSeeds (addresses: readonly string[], now: number): void {
+  setSeeds (addresses: readonly string[], now: number): void {
     this.seeds = new Set(addresses)
-    this.noteNamed(addresses, now)
+    this.recordAnnounced(addresses, now)
   }
 
   /** Records the addresses that a control process has announced. */
-  noteNamed (addresses: readonly string[], now: number): void {
+  recordAnnounced (addresses: readonly string[], now: number): void {
     for (const address of addresses) this.announcedAt.set(address, now)
   }
 
   /** Removes and returns the addresses that have expired; linked addresses do not expire. */
-  takeForgotten (linked: readonly string[], now: number): string[] {
-    this.noteNamed(linked, now)
+  removeExpired (linked: readonly string[], now: number): string[] {
+    this.recordAnnounced(linked, now)
     const isExpired = ([address, at]: [string, number]) => !this.seeds.has(address) && now - at > EXPIRY_MS
     const expired = [...this.announcedAt].filter(isExpired).map(([address]) => address)
     for (const address of expired) this.announcedAt.delete(address)
--- a/entry/gateway/src/control-links.ts
+++ b/entry/gateway/src/control-links.ts
@@ -2,11 +2,11 @@
 import { linkAddresses, Regions, type GatewaySettings } from '@gullwall/config.settings'
 import { GullwallError, messageOf } from '@gullwall/core.error'
 import { Dialer, type Link } from '@gullwall/transport.link'
-import { type Grant, type GrantWish, type Lease, type Message, type MessageOf } from '@gullwall/transport.messages'
+import { type Grant, type GrantRequest, type Lease, type Message, type MessageOf } from '@gullwall/transport.messages'
 import { ControlAddresses } from './control-addresses.ts'
 import { EntryCount } from './entry-count.ts'
 import { type GatewayServices } from './index.ts'
-import { ListeningChoice } from './listening-choice.ts'
+import { PrimaryLinkSelector } from './primary-link-selector.ts'
 import { isStartingUp } from './start-up.ts'
 
 const MAX_BACKOFF_MS = 500
@@ -28,7 +28,7 @@
 const UNCONFIRMED_AFTER_MS = 2500
 
 /** The load summary that an entry sends to control. */
-export type WorkWord = Pick<MessageOf<'work'>, 'works' | 'holdings' | 'observations'>
+export type EntryLoad = Pick<MessageOf<'work'>, 'works' | 'holdings' | 'observations'>
 
 /** Tells a control process to send no more load of the other entries. */
 const UNSUBSCRIBE: MessageOf<'work'> = { kind: 'work', works: [], holdings: [], observations: [], listens: false }
@@ -42,14 +42,14 @@
   private timer: NodeJS.Timeout | undefined
   /** The link over which this entry sends its load and receives the load of the other entries. */
   private primary: Link | undefined
-  private readonly selector: ListeningChoice
+  private readonly selector: PrimaryLinkSelector
   private readonly entryCount = new EntryCount()
   /** Number of failed requests. */
   private failures = 0
   private confirmRetryMs = FIRST_CONFIRM_RETRY_MS
 
   constructor (private readonly services: GatewayServices) {
-    this.selector = new ListeningChoice(services.settings.dataCentre, new Regions(services.settings.regions))
+    this.selector = new PrimaryLinkSelector(services.settings.dataCentre, new Regions(services.settings.regions))
   }
 
   start (): void {
@@ -60,14 +60,14 @@
   /** Dials the control processes that the settings name. */
   dialSeeds ({ seeds, linkPort }: Pick<GatewaySettings, 'seeds' | 'linkPort'>): void {
     const addresses = linkAddresses(seeds, linkPort)
-    this.addresses.noteSeeds(addresses, performance.now())
+    this.addresses.setSeeds(addresses, performance.now())
     this.dialAll(addresses)
   }
 
   /** Stops dialling the control processes whose addresses have expired. */
-  forgetControls (now: number): void {
+  removeExpiredControls (now: number): void {
     const linked = this.links().map(({ address }) => address)
-    for (const address of this.addresses.takeForgotten(linked, now)) {
+    for (const address of this.addresses.removeExpired(linked, now)) {
       const dialer = this.dialers.get(address)
       if (dialer === undefined) continue
       dialer.stop()
@@ -77,7 +77,7 @@
   }
 
   /** The addresses of control processes that are linked or being dialled. */
-  get dialled (): string[] {
+  get dialledAddresses (): string[] {
     return [...this.dialers.keys()]
   }
 
@@ -92,7 +92,7 @@
   }
 
   /** The open link to the control process with which this entry exchanges load summaries. */
-  get listened (): Link | undefined {
+  get primaryLink (): Link | undefined {
     return this.primary?.isOpen === true ? this.primary : undefined
   }
 
@@ -100,8 +100,8 @@
    * Sends the load of this entry to one control process, which then sends the load of the other entries in return. Returns false
    * if no link is open.
    */
-  tellWork (report: WorkWord): boolean {
-    const chosen = this.selector.choose(this.links(), this.dialers.size, performance.now())
+  reportLoad (report: EntryLoad): boolean {
+    const chosen = this.selector.select(this.links(), this.dialers.size, performance.now())
     if (chosen !== this.primary) this.primary?.send(UNSUBSCRIBE)
     this.primary = chosen
     return chosen?.send({ kind: 'work', ...report, listens: true }) ?? false
@@ -111,7 +111,7 @@
    * Requests grants for endpoints that are cold or have a rate limit.
    * @throws ERR_GULLWALL_LINK_CLOSED, ERR_GULLWALL_LINK_TIMEOUT, ERR_GULLWALL_PEER_FAILED
    */
-  async askGrants (wishes: GrantWish[]): Promise<Grant[]> {
+  async requestGrants (wishes: GrantRequest[]): Promise<Grant[]> {
     return (await this.requestAny({ kind: 'coldAsk', entry: this.services.settings.box, wishes }, 'coldGranted', GRANT_TIMEOUT_MS)).grants
   }
 
@@ -119,7 +119,7 @@
    * Reports crashed endpoints to control. A quorum has stored the report once this resolves.
    * @throws ERR_GULLWALL_LINK_CLOSED, ERR_GULLWALL_LINK_TIMEOUT, ERR_GULLWALL_PEER_FAILED; the report can be sent again
    */
-  async tellCrashes (report: Omit<MessageOf<'crashes'>, 'kind'>): Promise<void> {
+  async reportCrashes (report: Omit<MessageOf<'crashes'>, 'kind'>): Promise<void> {
     await this.requestAny({ kind: 'crashes', ...report }, 'done', CRASH_REPORT_TIMEOUT_MS)
   }
 
@@ -127,7 +127,7 @@
    * Reports to control the endpoints that have announced in an answer that they are draining. A control process without an open
    * link receives the report later, when it sends a lease that contradicts it.
    */
-  tellDraining (incarnations: string[]): void {
+  reportDraining (incarnations: string[]): void {
     for (const link of this.links()) link.send({ kind: 'draining', incarnations })
   }
 
@@ -135,7 +135,7 @@
    * Reports to control the rate limits that endpoints have advertised. A control process without an open link receives the
    * report later, when it sends a lease that contradicts it.
    */
-  tellLimits (limits: MessageOf<'limits'>['limits']): void {
+  reportLimits (limits: MessageOf<'limits'>['limits']): void {
     for (const link of this.links()) link.send({ kind: 'limits', limits })
   }
 
@@ -146,7 +146,7 @@
   private async requestAny<Kind extends 'coldGranted' | 'done'> (
     message: Message, expected: Kind, timeoutMs: number
   ): Promise<MessageOf<Kind>> {
-    const links = [...new Set([this.listened, ...this.links()])].filter((link) => link !== undefined)
+    const links = [...new Set([this.primaryLink, ...this.links()])].filter((link) => link !== undefined)
     const link = links[this.failures % Math.max(1, links.length)]
     if (link === undefined) throw new GullwallError('ERR_GULLWALL_LINK_CLOSED', 'no link to control', { step: message.kind })
     try {
@@ -158,7 +158,7 @@
   }
 
   /** Returns why this process cannot serve requests yet; undefined if it can. */
-  notReady (): string | undefined {
+  findNotReadyReason (): string | undefined {
     const { view, store } = this.services
     if (view.table === undefined) return 'no document is known'
     if (view.endpointCount === 0) return 'no endpoint is known'
@@ -199,11 +199,11 @@
     const { spreader } = this.services
     if (spreader.receive(link, message)) return
     if (message.kind === 'workSums' && link === this.primary) this.receiveLoad(link, message)
-    if (message.kind === 'readings') this.services.workExchange.learn(message)
+    if (message.kind === 'readings') this.services.loadExchange.adoptReadings(message)
     if (message.kind === 'leases') this.mergeLeases(link, message.leases)
     if (message.kind !== 'controls') return
-    this.addresses.noteNamed(message.addresses, performance.now())
-    this.forgetControls(performance.now())
+    this.addresses.recordAnnounced(message.addresses, performance.now())
+    this.removeExpiredControls(performance.now())
     this.countEntries(link.address, message.entries)
     this.dialOthers(message.addresses)
   }
@@ -211,9 +211,9 @@
   /** Merges leases. A control process that does not know yet that an endpoint is draining, or its limit, receives the report again. */
   private mergeLeases (link: Link, leases: readonly Lease[]): void {
     this.services.view.leases.merge(leases)
-    const incarnations = this.services.notices.contradicted(leases)
+    const incarnations = this.services.notices.findDrainingReportedReady(leases)
     if (incarnations.length > 0) link.send({ kind: 'draining', incarnations })
-    const limits = this.services.notices.limitsToTell(leases)
+    const limits = this.services.notices.findLimitsToReport(leases)
     if (limits.length > 0) link.send({ kind: 'limits', limits })
   }
 
@@ -222,25 +222,25 @@
    * it is ready, since each further link takes processor time while callers wait.
    */
   private dialOthers (addresses: readonly string[]): void {
-    const isStarting = this.notReady() !== undefined && isStartingUp(performance.now(), this.services.startedAt)
+    const isStarting = this.findNotReadyReason() !== undefined && isStartingUp(performance.now(), this.services.startedAt)
     // Control announces its addresses again within two seconds.
     if (!isStarting) this.dialAll(addresses)
   }
 
   private countEntries (address: string, entries: number): void {
     const now = performance.now()
-    this.entryCount.note(address, entries, now)
-    this.services.view.entries = this.entryCount.count(this.openCount > this.dialers.size / 2, now)
+    this.entryCount.record(address, entries, now)
+    this.services.view.entryCount = this.entryCount.count(this.openCount > this.dialers.size / 2, now)
   }
 
   private receiveLoad (link: Link, message: MessageOf<'workSums'>): void {
-    this.selector.note(link, message.peers, performance.now())
-    this.services.workExchange.receive(message)
+    this.selector.recordPeers(link, message.peers, performance.now())
+    this.services.loadExchange.receive(message)
   }
 
   /** Repeats the request for the newest revision until a quorum has confirmed it; from then on the links keep this process up to date. */
   private async confirmRevision (): Promise<void> {
-    for (const link of this.selector.nearestFirst(this.links())) {
+    for (const link of this.selector.sortByDistance(this.links())) {
       try {
         const { revision } = await link.request({ kind: 'confirm' }, 'confirmed', CONFIRM_TIMEOUT_MS)
         this.confirmedRevision = revision
--- a/entry/gateway/src/region-crossings.ts
+++ b/entry/gateway/src/cross-region-traffic.ts
@@ -1,6 +1,6 @@
 /** The traffic that this gateway sends to other regions: the cost of each request, and the requests and bytes sent. */
 import { Regions, type GatewaySettings } from '@gullwall/config.settings'
-import { RegionLink, type Crossing, type EndpointState } from '@gullwall/routing.balancer'
+import { RegionLink, type RegionContext, type EndpointState } from '@gullwall/routing.balancer'
 import { type Call } from './call.ts'
 import { type GatewayMetrics } from './metrics.ts'
 
@@ -11,16 +11,16 @@
 /** Weight of the latest answer in the moving mean of its route. */
 const ANSWER_WEIGHT = 0.1
 
-export interface RegionCrossingsOptions {
+export interface CrossRegionTrafficOptions {
   settings: Pick<GatewaySettings, 'dataCentre' | 'regions' | 'regionLinkMbitPerS'>
-  view: { readonly entries: number }
-  metrics: Pick<GatewayMetrics, 'leavingRequests' | 'leavingBytes'>
+  view: { readonly entryCount: number }
+  metrics: Pick<GatewayMetrics, 'crossRegionRequests' | 'crossRegionBytes'>
 }
 
 /** The maximum number of routes with a mean. Beyond it the route that was added first is dropped, as documents add and remove routes. */
 const MAX_ROUTES = 5000
 
-export class RegionCrossings {
+export class CrossRegionTraffic {
   readonly regions: Regions
   readonly link: RegionLink
   /** Requests sent to other regions since the start, and their bytes including the answers. */
@@ -28,42 +28,42 @@
   /** The moving mean of the answer size of each route, in bytes. */
   private readonly answerBytes = new Map<string, number>()
 
-  constructor (private readonly options: RegionCrossingsOptions) {
+  constructor (private readonly options: CrossRegionTrafficOptions) {
     this.regions = new Regions(options.settings.regions)
-    this.link = new RegionLink({ mbitPerS: options.settings.regionLinkMbitPerS, entries: () => options.view.entries })
+    this.link = new RegionLink({ mbitPerS: options.settings.regionLinkMbitPerS, entryCount: () => options.view.entryCount })
   }
 
   /** Returns the region costs of a request for the choice of an endpoint; undefined if the deployment has a single region. */
-  of (call: Call): Crossing | undefined {
+  costsFor (call: Call): RegionContext | undefined {
     if (this.regions.names.size < 2) return undefined
-    return { regionOf: (dataCentre) => this.regions.regionOf(dataCentre), costMs: this.link.costMs(this.expectedBytes(call)) }
+    return { regionOf: (dataCentre) => this.regions.regionOf(dataCentre), crossRegionCostMs: this.link.costMs(this.expectedBytes(call)) }
   }
 
   /** Records that a request is sent. Returns a function to call with the size of its answer in bytes once that has ended. */
-  begin (call: Call, { description }: EndpointState): (answerBytes: number) => void {
+  beginRequest (call: Call, { description }: EndpointState): (answerBytes: number) => void {
     const { metrics } = this.options
     const expectedBytes = this.expectedBytes(call)
     const isCrossRegion = this.isOtherRegion(description.dataCentre)
     const region = this.regions.regionOf(description.dataCentre)
     if (isCrossRegion) {
-      metrics.leavingRequests.inc({ region })
+      metrics.crossRegionRequests.inc({ region })
       this.sent.requests += 1
-      this.link.take(expectedBytes)
+      this.link.recordBytes(expectedBytes)
     }
     return (answerBytes) => {
       if (isCrossRegion) {
         const bytes = requestBytes(call) + answerBytes
-        metrics.leavingBytes.inc({ region }, bytes)
+        metrics.crossRegionBytes.inc({ region }, bytes)
         this.sent.bytes += bytes
-        this.link.take(bytes - expectedBytes)
+        this.link.recordBytes(bytes - expectedBytes)
       }
       this.recordAnswer(call.route.name, answerBytes)
     }
   }
 
   /** Records how long it took to connect to an endpoint in a data centre, in ms. */
-  connected (dataCentre: string, tookMs: number): void {
-    if (this.isOtherRegion(dataCentre)) this.link.noteRoundTrip(tookMs)
+  recordConnected (dataCentre: string, tookMs: number): void {
+    if (this.isOtherRegion(dataCentre)) this.link.recordRoundTrip(tookMs)
   }
 
   private isOtherRegion (dataCentre: string): boolean {
--- a/entry/gateway/src/deployment-view.ts
+++ b/entry/gateway/src/deployment-view.ts
@@ -2,7 +2,7 @@
 import { Regions, type GatewaySettings } from '@gullwall/config.settings'
 import { RouteTable, type DocumentFormat } from '@gullwall/config.document'
 import { type RevisionStore } from '@gullwall/config.spread'
-import { LeaseTable, type HeldLease } from '@gullwall/control.registry'
+import { LeaseTable, type KnownLease } from '@gullwall/control.registry'
 import { DOCUMENT_KEY, type StoredDocument } from '@gullwall/control.state'
 import { type Logger } from '@gullwall/core.logger'
 import { EndpointIndex, EndpointState, ReservedEngines, type EndpointPool } from '@gullwall/routing.balancer'
@@ -18,7 +18,7 @@
 
 /** Receives changes of the rate limits that endpoints advertise, and the endpoints that are gone. */
 export interface LimitListener {
-  note: (lease: HeldLease) => void
+  recordLimit: (lease: KnownLease) => void
   forget: (incarnation: string) => void
 }
 
@@ -28,9 +28,9 @@
 const SCAN_SIZE = 256
 
 /** An endpoint to check in the current tick, and the number of ticks from one check to the next. */
-export interface TurnOf {
+export interface ScanItem {
   endpoint: EndpointState
-  turns: number
+  ticks: number
 }
 
 /** A request that waits for a change; those of lower rank are woken first. */
@@ -43,7 +43,7 @@
   /** The routes of the current document; undefined before the first document. */
   table: RouteTable | undefined
   /** Number of entries that share the budgets of the deployment, as counted by control. */
-  entries = 1
+  entryCount = 1
   readonly leases: LeaseTable
   /** Engines that are kept free of long prompts. */
   readonly reserved = new ReservedEngines()
@@ -66,20 +66,20 @@
     this.leases = new LeaseTable({
       logger: options.logger,
       onChange: (changed) => this.leasesChanged(changed),
-      onLimit: (lease) => this.limitListener?.note(lease),
+      onLimit: (lease) => this.limitListener?.recordLimit(lease),
       onTouched: (incarnation) => this.updateUsable(incarnation)
     })
     options.store.onChange(() => this.documentChanged())
   }
 
   /** Sets the listener for changes of rate limits. */
-  onLimits (listener: LimitListener): void {
+  setLimitListener (listener: LimitListener): void {
     this.limitListener = listener
   }
 
   start (): void {
     this.leases.start()
-    this.timer = setInterval(() => this.forgetGone(), SWEEP_MS)
+    this.timer = setInterval(() => this.removeGone(), SWEEP_MS)
   }
 
   stop (): void {
@@ -101,7 +101,9 @@
   reserveEngines (mayGoTo: (dataCentre: string) => boolean): void {
     for (const { name, engine } of this.table?.document.services ?? []) {
       if (engine === undefined) continue
-      this.reserved.updateFrom(name, this.pool(name), { mayGoTo, regionOf: (dataCentre) => this.regions.regionOf(dataCentre) })
+      this.reserved.updateFromPool(
+        name, this.pool(name), { isDataCentreAllowed: mayGoTo, regionOf: (dataCentre) => this.regions.regionOf(dataCentre) }
+      )
     }
   }
 
@@ -111,12 +113,12 @@
   }
 
   /** Returns the endpoints to check in this tick: all busy ones, and the next batch of the others. */
-  nextTurn (now: number): TurnOf[] {
-    this.index.settle(now)
+  nextScanBatch (now: number): ScanItem[] {
+    this.index.removeIdle(now)
     const { busy } = this.index
     const turns = Math.max(1, Math.ceil(this.endpoints.size / SCAN_SIZE))
     const others = this.nextOthers(Math.min(SCAN_SIZE, this.endpoints.size)).filter((endpoint) => !busy.has(endpoint))
-    return [...[...busy].map((endpoint) => ({ endpoint, turns: 1 })), ...others.map((endpoint) => ({ endpoint, turns }))]
+    return [...[...busy].map((endpoint) => ({ endpoint, ticks: 1 })), ...others.map((endpoint) => ({ endpoint, ticks: turns }))]
   }
 
   private nextOthers (count: number): EndpointState[] {
@@ -131,7 +133,7 @@
   }
 
   /** Whether an endpoint accepts requests, as far as this process knows. */
-  takesWork (incarnation: string): boolean {
+  acceptsRequests (incarnation: string): boolean {
     return this.endpoints.get(incarnation)?.hasEnded === false && this.leases.isUsable(incarnation)
   }
 
@@ -151,7 +153,7 @@
   /** The age of the last report on an endpoint, in ms; -1 if it has no lease. */
   leaseAgeMs (incarnation: string): number {
     const lease = this.leases.get(incarnation)
-    return lease === undefined ? -1 : Math.round(performance.now() - lease.heardAt)
+    return lease === undefined ? -1 : Math.round(performance.now() - lease.receivedAt)
   }
 
   /** The time since the current document was applied, in ms. */
@@ -160,7 +162,7 @@
   }
 
   /** Resolves at the next change or after the given time. At a change, waiters of lower rank are woken first. */
-  async changeWithin (ms: number, rank = -Infinity): Promise<void> {
+  async waitForChange (ms: number, rank = -Infinity): Promise<void> {
     await new Promise<void>((resolve) => {
       const done = () => {
         clearTimeout(timer)
@@ -197,7 +199,7 @@
     this.wake()
   }
 
-  private leasesChanged (changed: readonly HeldLease[]): void {
+  private leasesChanged (changed: readonly KnownLease[]): void {
     for (const lease of changed) {
       if (lease.state === 'gone') continue
       const known = this.endpoints.get(lease.incarnation)
@@ -211,7 +213,7 @@
   private updateUsable (incarnation: string): void {
     const endpoint = this.endpoints.get(incarnation)
     if (endpoint === undefined) return
-    this.index.setUsable(endpoint, this.takesWork(incarnation))
+    this.index.setUsable(endpoint, this.acceptsRequests(incarnation))
     const isGone = (this.leases.get(incarnation)?.state ?? 'gone') === 'gone'
     if (isGone) this.limitListener?.forget(incarnation)
     if (isGone) this.gone.add(incarnation)
@@ -230,7 +232,7 @@
   }
 
   /** Removes endpoints that are gone and have no requests in flight. */
-  forgetGone (): void {
+  removeGone (): void {
     for (const incarnation of this.gone) {
       const endpoint = this.endpoints.get(incarnation)
       if (endpoint === undefined || endpoint.inFlight > 0) continue
--- a/entry/gateway/src/dialect.ts
+++ b/entry/gateway/src/dialect.ts
@@ -1,6 +1,6 @@
 /** The headers through which callers, this process and endpoints exchange information. An adapter can use other names. */
 import { type Notices } from '@gullwall/endpoint.notices'
-import { type OutputWord, type PromptPart } from '@gullwall/routing.balancer'
+import { type OutputLengthHint, type PromptPart } from '@gullwall/routing.balancer'
 
 /** Headers with lower-case names. */
 export type Headers = Record<string, string | string[] | undefined>
@@ -14,13 +14,13 @@
   lastEventId: string | undefined
   prompt: readonly PromptPart[]
   /** What the caller states about the length of the answer. */
-  output?: OutputWord | undefined
+  output?: OutputLengthHint | undefined
   /** The API key. */
   key: string | undefined
 }
 
 /** What the endpoint receives in addition to the caller's headers. */
-export interface AttemptFacts {
+export interface AttemptContext {
   /** The incarnation of the endpoint; any other incarnation refuses the request. */
   incarnation: string
   /** The time until the deadline of the request, in ms. */
@@ -38,7 +38,7 @@
 export interface AnswerHead {
   requestId: string | undefined
   /** Whether the answer comes from the service itself. */
-  isSigned: boolean
+  isFromService: boolean
   /** Whether the endpoint states that it has not run the request. */
   isNotRun: boolean
   /** What the endpoint states about itself. */
@@ -48,7 +48,7 @@
 export interface CallDialect {
   readCall (headers: Headers): CallHead
   /** Returns the headers for the endpoint from the caller's. Both lists alternate names and values. */
-  attemptHeaders (rawHeaders: readonly string[], facts: AttemptFacts): string[]
+  attemptHeaders (rawHeaders: readonly string[], facts: AttemptContext): string[]
   readAnswer (status: number, headers: Headers): AnswerHead
 }
 
@@ -61,20 +61,20 @@
 /** Which of the caller's headers are forwarded to an endpoint; names are in lower case. */
 export interface HeaderRules {
   /** Never forwarded, in any spelling that a server may treat as the same name. */
-  dropped: ReadonlySet<string>
+  neverForwarded: ReadonlySet<string>
   /** Forwarded even if the caller's Connection header names them, so that a caller cannot remove them. */
-  kept: ReadonlySet<string>
+  alwaysForwarded: ReadonlySet<string>
 }
 
 /** Returns the headers that are forwarded, in their original order. */
-export function passedOn (rawHeaders: readonly string[], { dropped, kept }: HeaderRules): string[] {
+export function filterForwardedHeaders (rawHeaders: readonly string[], { neverForwarded, alwaysForwarded }: HeaderRules): string[] {
   const hopByHop = connectionOptions(rawHeaders)
   const forwarded: string[] = []
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     const name = rawHeaders[index] ?? ''
     const canonical = canonicalName(name)
-    if (HOP_BY_HOP.has(canonical) || dropped.has(canonical)) continue
-    if (hopByHop.has(name.toLowerCase()) && !kept.has(canonical)) continue
+    if (HOP_BY_HOP.has(canonical) || neverForwarded.has(canonical)) continue
+    if (hopByHop.has(name.toLowerCase()) && !alwaysForwarded.has(canonical)) continue
     forwarded.push(name, rawHeaders[index + 1] ?? '')
   }
   return forwarded
@@ -96,13 +96,13 @@
 }
 
 /** Returns the first value of a header. */
-export function headerOf (headers: Headers, name: string): string | undefined {
+export function firstHeaderValue (headers: Headers, name: string): string | undefined {
   const value = headers[name]
   return Array.isArray(value) ? value[0] : value
 }
 
 /** Parses a positive number; undefined if it is missing or invalid. */
-export function countOf (text: string | undefined): number | undefined {
+export function parsePositiveNumber (text: string | undefined): number | undefined {
   const value = Number(text)
   return Number.isFinite(value) && value > 0 ? value : undefined
 }
--- a/entry/gateway/src/entry-count.ts
+++ b/entry/gateway/src/entry-count.ts
@@ -17,7 +17,7 @@
   private readonly counts = new Map<string, Count>()
 
   /** Records the count that the control process at an address has reported. */
-  note (address: string, entries: number, now: number): void {
+  record (address: string, entries: number, now: number): void {
     const known = this.counts.get(address)
     // A lower count does not replace a higher one before that expires: entries that reconnect are missing for a moment.
     if (known !== undefined && known.entries > entries && now - known.reportedAt <= VALID_MS) return
--- a/entry/gateway/src/evacuated-places.ts
+++ b/entry/gateway/src/evacuated-data-centres.ts
@@ -2,22 +2,22 @@
 import { type RevisionStore } from '@gullwall/config.spread'
 import { evacuationsIn, type StoredEvacuation } from '@gullwall/control.state'
 import { type Logger } from '@gullwall/core.logger'
-import { type PlaceRule } from './eligibility.ts'
+import { type DataCentreRule } from './eligibility.ts'
 
-export interface EvacuatedPlacesOptions {
+export interface EvacuatedDataCentresOptions {
   store: RevisionStore
   logger: Logger
   /** Wakes the requests that wait for an endpoint. */
   view: { wake: () => void }
 }
 
-export class EvacuatedPlaces {
+export class EvacuatedDataCentres {
   /** By data centre. */
   private evacuations = new Map<string, StoredEvacuation>()
   private hasRecords = false
   private readonly listeners = new Set<(dataCentre: string) => void>()
 
-  constructor (private readonly options: EvacuatedPlacesOptions) {
+  constructor (private readonly options: EvacuatedDataCentresOptions) {
     this.recordsChanged()
     options.store.onChange(() => this.recordsChanged())
   }
@@ -42,7 +42,7 @@
   }
 
   /** Excludes endpoints in evacuated data centres. */
-  readonly rule: PlaceRule = (dataCentre) => this.isEvacuated(dataCentre) ? `data centre ${dataCentre} is evacuated` : undefined
+  readonly rule: DataCentreRule = (dataCentre) => this.isEvacuated(dataCentre) ? `data centre ${dataCentre} is evacuated` : undefined
 
   private recordsChanged (): void {
     const { store, view } = this.options
--- a/entry/gateway/src/work-exchange.ts
+++ b/entry/gateway/src/load-exchange.ts
@@ -1,6 +1,6 @@
 /** Sends a summary of this entry's load to control, and stores the summed load of the other entries. */
-import { MIN_COPY_TOKENS, NO_OTHERS, sharedTokens, type EndpointState, type PromptPart } from '@gullwall/routing.balancer'
-import { type Holding, type MemoryUse, type MessageOf, type Observation, type WorkSummary } from '@gullwall/transport.messages'
+import { MIN_COPY_TOKENS, NO_OTHERS_LOAD, sharedPrefixTokens, type EndpointState, type PromptPart } from '@gullwall/routing.balancer'
+import { type Holding, type MemoryUse, type MessageOf, type Observation, type LoadSummary } from '@gullwall/transport.messages'
 import { type GatewayServices } from './index.ts'
 
 /** Interval at which the load is checked for changes to send, in ms. */
@@ -17,9 +17,9 @@
 /** The most sent prompts that are kept while no control process is linked; the oldest is dropped first, as in the engines' caches. */
 const MAX_UNSENT_HOLDINGS = 1000
 
-export class WorkExchange {
+export class LoadExchange {
   /** The load of the other entries by incarnation, including endpoints that are not known here yet. */
-  private readonly others = new Map<string, WorkSummary>()
+  private readonly others = new Map<string, LoadSummary>()
   private receivedAt = -Infinity
   private timer: NodeJS.Timeout | undefined
   private sentText = ''
@@ -44,32 +44,32 @@
     this.receivedAt = now
     if (whole) this.clearOthers()
     for (const work of works) this.setOthers(work)
-    for (const { incarnation, parts } of holdings) view.get(incarnation)?.noteKept(parts, now)
+    for (const { incarnation, parts } of holdings) view.get(incarnation)?.recordCached(parts, now)
     view.wake()
   }
 
-  private setOthers (work: WorkSummary): void {
+  private setOthers (work: LoadSummary): void {
     if (work.running + work.unread.length + work.unreachable > 0) this.others.set(work.incarnation, work)
     else this.others.delete(work.incarnation)
     const endpoint = this.services.view.get(work.incarnation)
-    if (endpoint !== undefined) endpoint.others = work
+    if (endpoint !== undefined) endpoint.othersLoad = work
   }
 
   /** Records that an endpoint is about to receive a prompt; long shared parts that it has not cached are reported to other entries. */
-  noteSending ({ prefixes, description }: EndpointState, prompt: readonly PromptPart[]): void {
-    const shared = sharedTokens(prompt)
-    if (shared < MIN_COPY_TOKENS || prefixes.cachedTokens(prompt) >= shared) return
+  recordSending ({ prefixCache, description }: EndpointState, prompt: readonly PromptPart[]): void {
+    const shared = sharedPrefixTokens(prompt)
+    if (shared < MIN_COPY_TOKENS || prefixCache.cachedTokens(prompt) >= shared) return
     this.unsentHoldings.push({ incarnation: description.incarnation, parts: prompt.slice(0, -1).map(({ id, tokens }) => ({ id, tokens })) })
     if (this.unsentHoldings.length > MAX_UNSENT_HOLDINGS) this.unsentHoldings.shift()
   }
 
   /** Records that a prompt was sent; a large one is reported at once. */
-  noteSent (unreadTokens: number): void {
+  recordSent (unreadTokens: number): void {
     if (unreadTokens > LARGE_PROMPT_TOKENS) this.sendSoon()
   }
 
   /** Reports at once that an endpoint cannot be reached or has ended, so that other entries do not try it. */
-  noteUnreachable (): void {
+  recordUnreachable (): void {
     this.sendSoon()
   }
 
@@ -81,20 +81,20 @@
   tick (): void {
     const now = performance.now()
     if (now - this.receivedAt > VALID_MS) this.clearOthers()
-    for (const { endpoint, turns } of this.services.view.nextTurn(now)) {
-      endpoint.others = this.others.get(endpoint.description.incarnation) ?? NO_OTHERS
-      endpoint.sampleReading(now, turns)
-      this.services.view.index.count(endpoint)
+    for (const { endpoint, ticks } of this.services.view.nextScanBatch(now)) {
+      endpoint.othersLoad = this.others.get(endpoint.description.incarnation) ?? NO_OTHERS_LOAD
+      endpoint.samplePrefill(now, ticks)
+      this.services.view.index.updateTotals(endpoint)
     }
     // An engine in an evacuated data centre must not be reserved, since the streams could not use it.
-    this.services.view.reserveEngines((dataCentre) => !this.services.evacuatedPlaces.isEvacuated(dataCentre))
+    this.services.view.reserveEngines((dataCentre) => !this.services.evacuatedDataCentres.isEvacuated(dataCentre))
     this.sendAfter(0)
   }
 
   private clearOthers (): void {
     for (const incarnation of this.others.keys()) {
       const endpoint = this.services.view.get(incarnation)
-      if (endpoint !== undefined) endpoint.others = NO_OTHERS
+      if (endpoint !== undefined) endpoint.othersLoad = NO_OTHERS_LOAD
     }
     this.others.clear()
   }
@@ -107,39 +107,43 @@
     const text = JSON.stringify(works)
     const hasChanged = text !== this.sentText || this.unsentHoldings.length > 0
     if (!hasChanged && sinceSent < REPEAT_MS) return
-    if (!this.services.controlLinks.tellWork({ works, holdings: this.unsentHoldings, observations: this.takeObservations() })) return
+    if (!this.services.controlLinks.reportLoad({ works, holdings: this.unsentHoldings, observations: this.takeObservations() })) return
     this.unsentHoldings = []
     this.sentText = text
     this.sentAt = performance.now()
   }
 
   /** Adopts the reading speeds, pauses and failure shares that control has derived from the observations of all entries. */
-  learn ({ readings }: MessageOf<'readings'>): void {
+  adoptReadings ({ readings }: MessageOf<'readings'>): void {
     const now = performance.now()
     for (const reading of readings) {
       const endpoint = this.services.view.get(reading.incarnation)
-      endpoint?.reading.adopt(reading)
+      endpoint?.prefill.adopt(reading)
       if (reading.failureShare !== undefined) endpoint?.outcomes.adopt(reading.failureShare, now)
     }
   }
 
   /** Returns what was observed at busy endpoints since the last message, and clears it. */
   private takeObservations (): Observation[] {
-    return [...this.services.view.busy()].flatMap(({ description: { incarnation }, reading, outcomes }) => {
-      if (!reading.hasSeen && !outcomes.hasSeen) return []
-      return [{ incarnation, ...(reading.takeSeen() ?? { pauses: [], reads: [] }), ...(outcomes.hasSeen ? outcomes.takeSeen() : {}) }]
+    return [...this.services.view.busy()].flatMap(({ description: { incarnation }, prefill, outcomes }) => {
+      if (!prefill.hasObservations && !outcomes.hasObservations) return []
+      return [{
+        incarnation,
+        ...(prefill.takeObservations() ?? { pauses: [], reads: [] }),
+        ...(outcomes.hasObservations ? outcomes.takeObservations() : {})
+      }]
     })
   }
 
-  private collectLoad (): WorkSummary[] {
+  private collectLoad (): LoadSummary[] {
     const now = performance.now()
-    return [...this.services.view.busy()].filter((endpoint) => endpoint.inFlight > 0 || endpoint.isDead(now)).map((endpoint) => ({
+    return [...this.services.view.busy()].filter((endpoint) => endpoint.inFlight > 0 || endpoint.isUnreachable(now)).map((endpoint) => ({
       incarnation: endpoint.description.incarnation,
       unread: endpoint.ownUnread(),
       running: endpoint.inFlight,
-      strain: Math.round(100 * endpoint.ownStrain) / 100,
-      sensitive: endpoint.ownSensitive,
-      unreachable: endpoint.isDead(now) ? 1 : 0,
+      strain: Math.round(100 * endpoint.ownPauseSensitivity) / 100,
+      sensitive: endpoint.ownPauseSensitiveStreams,
+      unreachable: endpoint.isUnreachable(now) ? 1 : 0,
       ...(endpoint.inFlight > 0 ? { memory: memoryOf(endpoint) } : {})
     }))
   }
--- a/entry/gateway/src/listening-choice.ts
+++ b/entry/gateway/src/primary-link-selector.ts
@@ -16,13 +16,13 @@
   reportedAt: number
 }
 
-export class ListeningChoice {
+export class PrimaryLinkSelector {
   private readonly coverage = new Map<Link, Coverage>()
 
   constructor (private readonly dataCentre: string, private readonly regions = new Regions()) {}
 
   /** Records from how many of its peers a control process receives load summaries. */
-  note (link: Link, peers: number, now: number): void {
+  recordPeers (link: Link, peers: number, now: number): void {
     this.coverage.set(link, { peers, reportedAt: now })
   }
 
@@ -31,14 +31,14 @@
   }
 
   /** Selects the nearest link, by preference to a control process that is not known to be disconnected from most of its peers. */
-  choose (links: readonly Link[], controls: number, now: number): Link | undefined {
+  select (links: readonly Link[], controls: number, now: number): Link | undefined {
     const connected = links.filter((link) => !this.isDisconnected(link, controls, now))
     const candidates = connected.length > 0 ? connected : links
-    return this.nearestFirst(candidates)[0]
+    return this.sortByDistance(candidates)[0]
   }
 
   /** Sorts links by distance; links at equal distance keep their order. */
-  nearestFirst (links: readonly Link[]): Link[] {
+  sortByDistance (links: readonly Link[]): Link[] {
     const distanceRank = ({ peer }: Link) => DISTANCES.indexOf(this.regions.distance(this.dataCentre, peer.dataCentre))
     return [...links].sort((left, right) => distanceRank(left) - distanceRank(right))
   }
--- a/entry/gateway/src/usage-teller.ts
+++ b/entry/gateway/src/usage-tracker.ts
@@ -6,7 +6,7 @@
 /** Interval of the reports, in ms: a process that crashes loses what it has counted since its last report. */
 const REPORT_MS = 100
 
-export class UsageTeller {
+export class UsageTracker {
   private readonly counter = new UsageCounter()
   private readonly clock = new SteadyWallClock()
   private timer: NodeJS.Timeout | undefined
@@ -26,13 +26,13 @@
   }
 
   /** Records that a request began to run, at a time of the monotonic clock in ms. */
-  noteBegun (organisation: string, at: number): void {
+  recordBegun (organisation: string, at: number): void {
     const { usageWindowMs } = this.services.settings
     if (usageWindowMs !== undefined) this.counter.note(windowAt(this.clock.at(at), usageWindowMs), organisation)
   }
 
   private report (): void {
-    const link = this.services.controlLinks.listened
+    const link = this.services.controlLinks.primaryLink
     if (link === undefined) return
     const windows = link === this.lastLink ? this.counter.takeUntold() : this.counter.takeAll()
     this.lastLink = link
--- a/entry/gateway/src/warmth.ts
+++ b/entry/gateway/src/warm-up-state.ts
@@ -1,5 +1,5 @@
 /** Whether an endpoint is cold, by its own report or by an assumption that holds until its next report. */
-import { type HeldLease } from '@gullwall/control.registry'
+import { type KnownLease } from '@gullwall/control.registry'
 
 /** Share by which the reported cold time is extended, since each clock may run up to 0.02 too fast or too slow. */
 const CLOCK_MARGIN = 0.05
@@ -17,7 +17,7 @@
   why: string
 }
 
-export class Warmth {
+export class WarmUpState {
   isCold = false
   /** Until when the endpoint is cold, as of the last update. */
   coldUntil = -Infinity
@@ -27,16 +27,16 @@
   private assumption: Assumption | undefined
 
   /** Considers the endpoint cold for some time, unless a heartbeat that starts later reports otherwise. */
-  assume (assumption: Assumption): void {
+  assumeCold (assumption: Assumption): void {
     this.assumption = assumption
   }
 
   /** Updates the state from the latest lease. Returns true if the endpoint has become cold or warm. */
-  look (lease: HeldLease, now: number): boolean {
+  update (lease: KnownLease, now: number): boolean {
     const wasCold = this.isCold
     const confirmedAfter = (this.assumption?.since ?? Infinity) + MAX_HEARTBEAT_DELAY_MS
-    if (lease.coldMs !== undefined && lease.heardAt > confirmedAfter) this.assumption = undefined
-    const reported = lease.coldMs === undefined ? -Infinity : lease.heardAt + (1 + CLOCK_MARGIN) * lease.coldMs
+    if (lease.coldMs !== undefined && lease.receivedAt > confirmedAfter) this.assumption = undefined
+    const reported = lease.coldMs === undefined ? -Infinity : lease.receivedAt + (1 + CLOCK_MARGIN) * lease.coldMs
     const assumed = this.assumption?.until ?? -Infinity
     this.coldUntil = Math.max(reported, assumed)
     this.isCold = now < this.coldUntil
@@ -56,6 +56,6 @@
   return startedAt === undefined ? 1 : Math.min(1, RAMP_START_SHARE + (1 - RAMP_START_SHARE) * (now - startedAt) / RAMP_MS)
 }
 
-function describeReport ({ heardAt, coldMs }: HeldLease, now: number): string {
-  return `reported ${Math.round(now - heardAt)} ms ago: cold for ${coldMs ?? 0} ms`
+function describeReport ({ receivedAt, coldMs }: KnownLease, now: number): string {
+  return `reported ${Math.round(now - receivedAt)} ms ago: cold for ${coldMs ?? 0} ms`
 }
--- a/entry/gateway/test/cold-together.test.ts
+++ b/entry/gateway/test/cold-endpoint-scenarios.test.ts
@@ -1,8 +1,8 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
-import { rankOf, type EndpointState } from '@gullwall/routing.balancer'
-import { coldGrantBound, GrantLedger } from '../../../control/program/src/grant-ledger.ts'
+import { hashName, type EndpointState } from '@gullwall/routing.balancer'
+import { createColdGrantBound, GrantLedger } from '../../../control/program/src/grant-ledger.ts'
 import { type Call } from '../src/call.ts'
-import { BOUND, Box } from './cold-box.ts'
+import { MAX_REQUESTS_PER_SECOND, Box } from './cold-endpoint-fixture.ts'
 
 const LONG_COLD_MS = 60_000
 const SECOND_MS = 1000
@@ -36,7 +36,7 @@
   refused = 0
   grantRequests = 0
   private readonly boxes: Box[]
-  private readonly ledger = new GrantLedger({ opensAt: -Infinity })
+  private readonly ledger = new GrantLedger({ startsAt: -Infinity })
   private readonly startedAt = performance.now()
   private waiting: Waiting[] = []
 
@@ -69,12 +69,14 @@
 
   private newBox (name: string): Box {
     const box = new Box(name)
-    for (let index = 0; index < this.scenario.warm; index += 1) box.hear(`warm-${index}`, 0)
-    for (let index = 0; index < this.scenario.cold; index += 1) box.hear(`cold-${index}`, LONG_COLD_MS)
+    for (let index = 0; index < this.scenario.warm; index += 1) box.receiveLease(`warm-${index}`, 0)
+    for (let index = 0; index < this.scenario.cold; index += 1) box.receiveLease(`cold-${index}`, LONG_COLD_MS)
     box.entries = this.scenario.boxes
-    box.answer = async (wishes) => {
+    box.answerGrants = async (wishes) => {
       this.grantRequests += 1
-      return wishes.map((wish) => this.ledger.grant({ ...wish, box: name, bounds: [coldGrantBound(BOUND)] }, performance.now()))
+      return wishes.map(
+        (wish) => this.ledger.grant({ ...wish, box: name, bounds: [createColdGrantBound(MAX_REQUESTS_PER_SECOND)] }, performance.now())
+      )
     }
     return box
   }
@@ -102,7 +104,7 @@
 
   private send (box: Box, call: Call): boolean {
     const [chosen] = box.eligible(call).sort((left, right) => this.countOf(left) - this.countOf(right))
-    if (chosen === undefined || !box.engines.take(chosen)) return false
+    if (chosen === undefined || !box.coldEndpoints.tryTakeGrant(chosen)) return false
     const { incarnation } = chosen.description
     this.sent.set(incarnation, [...this.sent.get(incarnation) ?? [], performance.now()])
     return true
@@ -115,11 +117,11 @@
 
 async function simulate (scenario: Scenario): Promise<Simulation> {
   let draws = 0
-  const simulation = new Simulation(scenario, () => rankOf(`${SEED} ${draws++}`) / 2 ** 32)
+  const simulation = new Simulation(scenario, () => hashName(`${SEED} ${draws++}`) / 2 ** 32)
   await simulation.run()
   const { total, refused, grantRequests, peakRate } = simulation
   console.log(`seed ${SEED}: ${total} requests, ${refused} refused, ${simulation.sentTo('cold')} sent to cold endpoints, ` +
-    `at most ${peakRate} of ${BOUND} to one within a second, ${Math.round(grantRequests / SECONDS)} grant requests a second`)
+    `at most ${peakRate} of ${MAX_REQUESTS_PER_SECOND} to one within a second, ${Math.round(grantRequests / SECONDS)} grant requests a second`)
   return simulation
 }
 
@@ -129,7 +131,7 @@
 describe('a data centre whose endpoints are all cold', () => {
   it('receives requests at the granted rate, while warm endpoints elsewhere serve the rest', async () => {
     const simulation = await simulate({ boxes: 28, warm: 24, cold: 12, ratePerSecond: 5.2, waitMs: 80 })
-    expect(simulation.peakRate).toBeLessThanOrEqual(BOUND)
+    expect(simulation.peakRate).toBeLessThanOrEqual(MAX_REQUESTS_PER_SECOND)
     expect(simulation.refused).toBe(0)
     // All cold endpoints are used.
     expect([...simulation.sent.keys()].filter((name) => name.startsWith('cold'))).toHaveLength(12)
@@ -140,10 +142,10 @@
 describe('a service with only cold endpoints', () => {
   it('serves requests at the granted rate and refuses the others', async () => {
     const withinRate = await simulate({ boxes: 28, warm: 0, cold: 36, ratePerSecond: 5.2, waitMs: 80 })
-    expect(withinRate.peakRate).toBeLessThanOrEqual(BOUND)
+    expect(withinRate.peakRate).toBeLessThanOrEqual(MAX_REQUESTS_PER_SECOND)
     expect(withinRate.refused).toBeLessThan(withinRate.total / 20)
     const aboveRate = await simulate({ boxes: 28, warm: 0, cold: 3, ratePerSecond: 5.2, waitMs: 80 })
-    expect(aboveRate.peakRate).toBeLessThanOrEqual(BOUND)
+    expect(aboveRate.peakRate).toBeLessThanOrEqual(MAX_REQUESTS_PER_SECOND)
     expect(aboveRate.refused).toBeGreaterThan(aboveRate.total / 2)
     expect(aboveRate.sentTo('cold')).toBeGreaterThan(3 * 5 * SECONDS)
   }, 20_000)
--- a/entry/gateway/test/stand-in.ts
+++ b/entry/gateway/test/gateway-deployment.ts
@@ -16,28 +16,28 @@
 const REGIONS = { dc1: 'north', dc2: 'south', dc3: 'west' }
 
 /** Answers with the method, path and body of the request. */
-export const answerWell: Behaviour = (request, response, body) => {
+export const answerOk: Behaviour = (request, response, body) => {
   response.writeHead(200, { 'x-gullwall-request-id': String(request.headers['x-gullwall-request-id'] ?? '') })
   response.end(`${request.method} ${request.url} ${body}`)
 }
 
-export class StandIn {
+export class StubEndpoint {
   address = ''
   /** The ids of the requests that arrived. */
-  readonly arrived: string[] = []
+  readonly requestIds: string[] = []
   readonly headers: IncomingMessage['headers'][] = []
   /** Number of requests whose connection was closed before the answer was complete. */
-  left = 0
+  disconnectCount = 0
   private readonly server: Server
 
-  constructor (readonly incarnation: string, readonly service: string, public behaviour: Behaviour = answerWell, readonly dataCentre = 'dc1') {
+  constructor (readonly incarnation: string, readonly service: string, public behaviour: Behaviour = answerOk, readonly dataCentre = 'dc1') {
     this.server = createServer((request, response) => {
       const chunks: Buffer[] = []
       request.on('data', (chunk: Buffer) => chunks.push(chunk))
       request.on('end', () => {
-        this.arrived.push(String(request.headers['x-gullwall-request-id']))
+        this.requestIds.push(String(request.headers['x-gullwall-request-id']))
         this.headers.push(request.headers)
-        response.on('close', () => { if (!response.writableFinished) this.left += 1 })
+        response.on('close', () => { if (!response.writableFinished) this.disconnectCount += 1 })
         this.behaviour(request, response, Buffer.concat(chunks).toString())
       })
     })
@@ -53,7 +53,7 @@
     this.server.closeAllConnections()
   }
 
-  get isUp (): boolean {
+  get isListening (): boolean {
     return this.server.listening
   }
 }
@@ -62,9 +62,9 @@
   control!: Kernel<ControlServices>
   gateway!: Kernel<GatewayServices>
   /** The log lines of all gateways. */
-  readonly lines: string[] = []
+  readonly logLines: string[] = []
 
-  constructor (private readonly standIns: readonly StandIn[], private readonly regions: Record<string, string> = REGIONS) {}
+  constructor (private readonly standIns: readonly StubEndpoint[], private readonly regions: Record<string, string> = REGIONS) {}
 
   async start (): Promise<void> {
     const [listen = ''] = await freeAddresses(1)
@@ -94,7 +94,7 @@
       retryWindowMs: 1000,
       retrySlack: 50,
       usageWindowMs: USAGE_WINDOW_MS
-    }, { write: (line) => this.lines.push(line) })
+    }, { write: (line) => this.logLines.push(line) })
     await this.control.start()
     for (const standIn of this.standIns) await standIn.start()
     await this.gateway.start()
@@ -103,15 +103,15 @@
   /** Stores a document and waits until the gateway has applied it and is ready. */
   async configure (version: number, limits: RegionLists = {}, service: object = {}): Promise<void> {
     await until('a leader', () => this.control.get('quorum').role === 'leader')
-    await this.control.get('documents').put(JSON.stringify(documentOf(version, limits, service)))
+    await this.control.get('documents').put(JSON.stringify(createDocument(version, limits, service)))
     await until('the document', () => this.gateway.get('view').table?.version === version)
-    await until('readiness', () => this.gateway.get('controlLinks').notReady() === undefined)
+    await until('readiness', () => this.gateway.get('controlLinks').findNotReadyReason() === undefined)
   }
 
   /** Reports an endpoint to control and waits until the gateway uses it, or no longer uses it. */
-  async register (standIn: StandIn, state: 'ready' | 'draining' = 'ready', sequence = 1, coldMs?: number): Promise<void> {
+  async register (standIn: StubEndpoint, state: 'ready' | 'draining' = 'ready', sequence = 1, coldMs?: number): Promise<void> {
     const { incarnation, service, address, dataCentre } = standIn
-    await this.control.get('registrar').hear({
+    await this.control.get('registrar').receiveHeartbeat({
       incarnation, service, address, dataCentre, slots: 4, state, sequence, coldMs, ageMs: 0
     })
     const shouldBeUsable = state === 'ready'
@@ -123,9 +123,9 @@
 
   /** Starts another gateway with the same endpoints; the test must stop it. */
   async startGateway (box: string): Promise<Kernel<GatewayServices>> {
-    const gateway = createGateway({ ...this.gateway.get('settings'), box }, { write: (line) => this.lines.push(line) })
+    const gateway = createGateway({ ...this.gateway.get('settings'), box }, { write: (line) => this.logLines.push(line) })
     await gateway.start()
-    await until(`${box} is ready`, () => gateway.get('controlLinks').notReady() === undefined)
+    await until(`${box} is ready`, () => gateway.get('controlLinks').findNotReadyReason() === undefined)
     return gateway
   }
 
@@ -134,8 +134,8 @@
   }
 
   /** Returns the log lines of one request. */
-  story (requestId: string): Array<Record<string, unknown>> {
-    return this.lines.map((line) => JSON.parse(line) as Record<string, unknown>).filter((record) => record['requestId'] === requestId)
+  logRecordsOf (requestId: string): Array<Record<string, unknown>> {
+    return this.logLines.map((line) => JSON.parse(line) as Record<string, unknown>).filter((record) => record['requestId'] === requestId)
   }
 
   async stop (): Promise<void> {
@@ -151,7 +151,7 @@
   organisation?: string[]
 }
 
-export function documentOf (version: number, limits: RegionLists = {}, service: object = {}): object {
+export function createDocument (version: number, limits: RegionLists = {}, service: object = {}): object {
   const common = {
     host: '127.0.0.1',
     timeoutMs: 1500,
--- a/entry/gateway/test/usage-teller.test.ts
+++ b/entry/gateway/test/usage-tracker.test.ts
@@ -3,8 +3,8 @@
 import { until } from '@gullwall/bench.deployment'
 import { type Link } from '@gullwall/transport.link'
 import { type Message, type UsageWindow } from '@gullwall/transport.messages'
-import { UsageTeller } from '../src/usage-teller.ts'
-import { answerWell, GatewayDeployment, StandIn, USAGE_WINDOW_MS, type Behaviour } from './stand-in.ts'
+import { UsageTracker } from '../src/usage-tracker.ts'
+import { answerOk, GatewayDeployment, StubEndpoint, USAGE_WINDOW_MS, type Behaviour } from './gateway-deployment.ts'
 
 const INTERVAL_MS = 1000
 
@@ -30,24 +30,24 @@
   it('contain all counts after a change of the control process, and are sent once more before the stop', () => {
     const links = [new FakeLink(), new FakeLink()]
     let listened: Link | undefined = links[0]?.asLink
-    const controlLinks = { get listened () { return listened } }
-    const reporter = new UsageTeller({ settings: { usageWindowMs: USAGE_WINDOW_MS }, controlLinks } as never)
+    const controlLinks = { get primaryLink () { return listened } }
+    const reporter = new UsageTracker({ settings: { usageWindowMs: USAGE_WINDOW_MS }, controlLinks } as never)
     reporter.start()
-    reporter.noteBegun('a', performance.now())
+    reporter.recordBegun('a', performance.now())
     vi.advanceTimersByTime(INTERVAL_MS)
     vi.advanceTimersByTime(INTERVAL_MS)
     expect(links[0]?.sent).toMatchObject([[{ counts: [{ organisation: 'a', begun: 1 }] }]])
     listened = links[1]?.asLink
     vi.advanceTimersByTime(INTERVAL_MS)
     expect(links[1]?.sent).toMatchObject([[{ counts: [{ organisation: 'a', begun: 1 }] }]])
-    reporter.noteBegun('a', performance.now())
+    reporter.recordBegun('a', performance.now())
     reporter.stop()
     expect(links[1]?.sent.at(-1)).toMatchObject([{ counts: [{ organisation: 'a', begun: 2 }] }])
   })
 })
 
 describe('the requests that count as begun', () => {
-  const standIn = new StandIn('i-only', 'app')
+  const standIn = new StubEndpoint('i-only', 'app')
   const deployment = new GatewayDeployment([standIn])
   let ids = 0
 
@@ -66,7 +66,7 @@
   }
 
   function counted (): number {
-    const parts = deployment.control.get('usageReporter').partsOf(Math.floor(Date.now() / USAGE_WINDOW_MS))
+    const parts = deployment.control.get('usageReporter').getUsageParts(Math.floor(Date.now() / USAGE_WINDOW_MS))
     return parts.sources.flatMap(({ counts }) => counts).reduce((sum, { begun }) => sum + begun, 0)
   }
 
@@ -79,7 +79,7 @@
   }
 
   it('are those that an endpoint ran, each once: calls when they are sent, streams at their first event', async () => {
-    await call('/look-up/1', answerWell)
+    await call('/look-up/1', answerOk)
     await call('/scan/1', stream)
     await call('/order/1', notRun)
     await until('the counts', () => counted() >= 2)
