--- a/entry/gateway/src/cold-endpoints.ts
+++ b/entry/gateway/src/cold-endpoints.ts
@@ -32,7 +32,7 @@
   /** Returns the number of entries in the deployment. */
   entryCount: () => number
   /** Requests grants from control. */
-  requestGrants: (wishes: GrantRequest[]) => Promise<Grant[]>
+  requestGrants: (requests: GrantRequest[]) => Promise<Grant[]>
   /** Wakes the requests that wait for an endpoint. */
   wake: () => void
   /** The grants of this box, both for cold endpoints and for endpoints with a rate limit. */
@@ -53,7 +53,7 @@
 export class ColdEndpoints {
   readonly totals: ColdTotals = { excluded: 0, sent: 0 }
   readonly grantRequester: GrantRequester
-  private readonly purse: GrantPool
+  private readonly grantPool: GrantPool
   /** Whether each endpoint is cold, by incarnation. */
   private readonly states = new Map<string, WarmUpState>()
   /** When the first endpoint of each service was found. */
@@ -70,7 +70,7 @@
   constructor (private readonly options: ColdEndpointsOptions) {
     this.now = options.now ?? (() => performance.now())
     const { box, logger, requestGrants, wake, entryCount, grantPool, advertisedLimitOf } = options
-    this.purse = grantPool
+    this.grantPool = grantPool
     this.grantRequester = new GrantRequester({ box, logger, requestGrants, wake, entryCount, advertisedLimitOf, now: this.now, grantPool })
   }
 
@@ -86,14 +86,14 @@
   /** Excludes cold endpoints while this box has no grant for them, and requests one. */
   readonly rule: EndpointRule = (endpoint, call) => {
     const now = this.now()
-    const warmth = this.updateState(endpoint, now)
-    if (warmth?.isCold !== true) return undefined
+    const state = this.updateState(endpoint, now)
+    if (state?.isCold !== true) return undefined
     const { incarnation, service } = endpoint.description
     this.grantRequester.recordRequest(service, call)
-    if (this.purse.countAvailable(incarnation, now) > 0) return undefined
+    if (this.grantPool.countAvailable(incarnation, now) > 0) return undefined
     this.grantRequester.requestGrant({ incarnation, service })
     this.recordExcluded(call, incarnation)
-    return `cold, and no grant is available (${warmth.why})`
+    return `cold, and no grant is available (${state.reason})`
   }
 
   /** Starts the ramp-up of an endpoint whose rate limit has ended. */
@@ -112,8 +112,8 @@
     if (now >= this.rampEndsAt) return endpoints
     const draw = hashName(call.requestId) / RANK_COUNT
     const selected = endpoints.filter(({ description: { incarnation } }) => {
-      const warmth = this.states.get(incarnation)
-      const isWarmEnough = warmth === undefined || warmth.isCold || draw < warmth.shareAt(now)
+      const state = this.states.get(incarnation)
+      const isWarmEnough = state === undefined || state.isCold || draw < state.shareAt(now)
       return isWarmEnough && draw < rampShare(this.reopenedAt.get(incarnation), now)
     })
     // If most endpoints are ramping up, the remaining few could not serve all requests.
@@ -129,7 +129,7 @@
   tryTakeGrant (endpoint: EndpointState): boolean {
     const now = this.now()
     if (this.updateState(endpoint, now)?.isCold !== true) return true
-    if (!this.purse.tryTake(endpoint.description.incarnation, now)) return false
+    if (!this.grantPool.tryTake(endpoint.description.incarnation, now)) return false
     this.totals.sent += 1
     return true
   }
@@ -150,7 +150,7 @@
       const startMs = description.dataCentre === dataCentre ? this.options.coldLimitOf(description.service)?.startMs : undefined
       if (startMs === undefined) continue
       this.updateState(endpoint, now)
-      this.states.get(description.incarnation)?.assumeCold({ since: now, until: now + startMs, why: 'its data centre received no requests' })
+      this.states.get(description.incarnation)?.assumeCold({ since: now, until: now + startMs, reason: 'no requests to its data centre' })
     }
   }
 
@@ -167,11 +167,11 @@
     if (limit === undefined) return undefined
     const lease = this.options.leaseOf(incarnation)
     if (lease === undefined) return undefined
-    const warmth = this.states.get(incarnation) ?? this.createState(lease, limit, now)
-    if (!warmth.update(lease, now)) return warmth
-    this.logTransition(lease, warmth, now)
-    if (!warmth.isCold) this.rampEndsAt = now + RAMP_MS
-    return warmth
+    const state = this.states.get(incarnation) ?? this.createState(lease, limit, now)
+    if (!state.update(lease, now)) return state
+    this.logTransition(lease, state, now)
+    if (!state.isCold) this.rampEndsAt = now + RAMP_MS
+    return state
   }
 
   /**
@@ -179,13 +179,13 @@
    * probably just started, so it is assumed to be cold unless it reports its cold time.
    */
   private createState ({ incarnation, service, coldMs }: KnownLease, { startMs }: ColdLimit, now: number): WarmUpState {
-    const warmth = new WarmUpState()
-    this.states.set(incarnation, warmth)
+    const state = new WarmUpState()
+    this.states.set(incarnation, state)
     const discoveredAt = this.discoveredAt.get(service) ?? now
     this.discoveredAt.set(service, discoveredAt)
     const isNew = now - discoveredAt > DISCOVERY_MS
-    if (isNew && coldMs === undefined) warmth.assumeCold({ since: now, until: now + startMs, why: 'it is new and reports no cold time' })
-    return warmth
+    if (isNew && coldMs === undefined) state.assumeCold({ since: now, until: now + startMs, reason: 'it is new and reports no cold time' })
+    return state
   }
 
   private recordExcluded (call: Call, incarnation: string): void {
@@ -204,14 +204,14 @@
     for (const incarnation of this.states.keys()) {
       if (this.options.leaseOf(incarnation) !== undefined) continue
       this.states.delete(incarnation)
-      this.purse.forget(incarnation)
+      this.grantPool.forget(incarnation)
       this.grantRequester.forget(incarnation)
     }
   }
 
-  private logTransition ({ incarnation, service, receivedAt }: KnownLease, { isCold, why, coldUntil }: WarmUpState, now: number): void {
+  private logTransition ({ incarnation, service, receivedAt }: KnownLease, { isCold, reason, coldUntil }: WarmUpState, now: number): void {
     const age = `last report ${Math.round(now - receivedAt)} ms old`
-    const state = isCold ? `cold for another ${Math.round(coldUntil - now)} ms: ${why}` : `its cold time is over, ${age}`
-    this.options.logger.info({ channel: 'endpoint', event: isCold ? 'cold' : 'warm', endpoint: incarnation, why: `${service}: ${state}` })
+    const change = isCold ? `cold for another ${Math.round(coldUntil - now)} ms: ${reason}` : `its cold time is over, ${age}`
+    this.options.logger.info({ channel: 'endpoint', event: isCold ? 'cold' : 'warm', endpoint: incarnation, why: `${service}: ${change}` })
   }
 }
--- a/entry/gateway/src/deployment-view.ts
+++ b/entry/gateway/src/deployment-view.ts
@@ -98,11 +98,11 @@
   }
 
   /** Updates the reserved engines from the requests in flight, within the data centres that may receive requests. Called at each tick. */
-  reserveEngines (mayGoTo: (dataCentre: string) => boolean): void {
+  reserveEngines (isDataCentreAllowed: (dataCentre: string) => boolean): void {
     for (const { name, engine } of this.table?.document.services ?? []) {
       if (engine === undefined) continue
       this.reserved.updateFromPool(
-        name, this.pool(name), { isDataCentreAllowed: mayGoTo, regionOf: (dataCentre) => this.regions.regionOf(dataCentre) }
+        name, this.pool(name), { isDataCentreAllowed, regionOf: (dataCentre) => this.regions.regionOf(dataCentre) }
       )
     }
   }
@@ -116,9 +116,9 @@
   nextScanBatch (now: number): ScanItem[] {
     this.index.removeIdle(now)
     const { busy } = this.index
-    const turns = Math.max(1, Math.ceil(this.endpoints.size / SCAN_SIZE))
+    const ticks = Math.max(1, Math.ceil(this.endpoints.size / SCAN_SIZE))
     const others = this.nextOthers(Math.min(SCAN_SIZE, this.endpoints.size)).filter((endpoint) => !busy.has(endpoint))
-    return [...[...busy].map((endpoint) => ({ endpoint, ticks: 1 })), ...others.map((endpoint) => ({ endpoint, ticks: turns }))]
+    return [...[...busy].map((endpoint) => ({ endpoint, ticks: 1 })), ...others.map((endpoint) => ({ endpoint, ticks }))]
   }
 
   private nextOthers (count: number): EndpointState[] {
--- a/entry/gateway/src/index.ts
+++ b/entry/gateway/src/index.ts
@@ -96,7 +96,7 @@
     .service('crossRegionTraffic', (services) => new CrossRegionTraffic(services))
     .service('evacuatedDataCentres', (services) => new EvacuatedDataCentres(services))
     .service('grantPool', () => new GrantPool())
-    .service('coldEndpoints', createColdEngines)
+    .service('coldEndpoints', createColdEndpoints)
     .service('limits', createLimits)
     .service('eligibility', createEligibility)
     .service('budget', (services) => createBudget(services))
@@ -125,7 +125,7 @@
   }
 }
 
-function createColdEngines (services: GatewayServices): ColdEndpoints {
+function createColdEndpoints (services: GatewayServices): ColdEndpoints {
   const { settings, logger, view } = services
   return new ColdEndpoints({
     box: settings.box,
@@ -134,7 +134,7 @@
     coldLimitOf: (service) => view.table?.service(service)?.coldLimit,
     endpoints: () => view.all(),
     entryCount: () => view.entryCount,
-    requestGrants: async (wishes) => await services.controlLinks.requestGrants(wishes),
+    requestGrants: async (requests) => await services.controlLinks.requestGrants(requests),
     wake: () => view.wake(),
     grantPool: services.grantPool,
     advertisedLimitOf: (incarnation) => services.limits.limitPerSecond(incarnation)
@@ -145,7 +145,7 @@
   const { logger, view, coldEndpoints, grantPool } = services
   const limits = new EndpointLimits({
     logger,
-    requestGrants: async (wishes) => await services.controlLinks.requestGrants(wishes),
+    requestGrants: async (requests) => await services.controlLinks.requestGrants(requests),
     wake: () => view.wake(),
     now: () => performance.now(),
     grantPool,
--- a/entry/gateway/src/load-exchange.ts
+++ b/entry/gateway/src/load-exchange.ts
@@ -43,16 +43,16 @@
     const now = performance.now()
     this.receivedAt = now
     if (whole) this.clearOthers()
-    for (const work of works) this.setOthers(work)
+    for (const load of works) this.setOthers(load)
     for (const { incarnation, parts } of holdings) view.get(incarnation)?.recordCached(parts, now)
     view.wake()
   }
 
-  private setOthers (work: LoadSummary): void {
-    if (work.running + work.unread.length + work.unreachable > 0) this.others.set(work.incarnation, work)
-    else this.others.delete(work.incarnation)
-    const endpoint = this.services.view.get(work.incarnation)
-    if (endpoint !== undefined) endpoint.othersLoad = work
+  private setOthers (load: LoadSummary): void {
+    if (load.running + load.unread.length + load.unreachable > 0) this.others.set(load.incarnation, load)
+    else this.others.delete(load.incarnation)
+    const endpoint = this.services.view.get(load.incarnation)
+    if (endpoint !== undefined) endpoint.othersLoad = load
   }
 
   /** Records that an endpoint is about to receive a prompt; long shared parts that it has not cached are reported to other entries. */
--- a/entry/gateway/src/warm-up-state.ts
+++ b/entry/gateway/src/warm-up-state.ts
@@ -14,7 +14,7 @@
 interface Assumption {
   since: number
   until: number
-  why: string
+  reason: string
 }
 
 export class WarmUpState {
@@ -22,7 +22,7 @@
   /** Until when the endpoint is cold, as of the last update. */
   coldUntil = -Infinity
   /** Why the endpoint is cold, or why it was when it was last cold. */
-  why = ''
+  reason = ''
   private warmSince = -Infinity
   private assumption: Assumption | undefined
 
@@ -40,7 +40,7 @@
     const assumed = this.assumption?.until ?? -Infinity
     this.coldUntil = Math.max(reported, assumed)
     this.isCold = now < this.coldUntil
-    if (this.isCold) this.why = reported < assumed ? this.assumption?.why ?? '' : describeReport(lease, now)
+    if (this.isCold) this.reason = reported < assumed ? this.assumption?.reason ?? '' : describeReport(lease, now)
     else if (wasCold) this.warmSince = now
     return wasCold !== this.isCold
   }
--- a/entry/gateway/test/allowed-regions.fuzz.test.ts
+++ b/entry/gateway/test/allowed-regions.fuzz.test.ts
@@ -117,9 +117,9 @@
     const pool = (service: string) => index.pool(service)
     const view = { table, usable: () => endpoints, pool, index, reserved: new ReservedEngines() }
     const settings = { dataCentre: 'dc0', regions }
-    const crossings = new CrossRegionTraffic({ settings, view: { entryCount: 1 }, metrics: {} as never })
+    const crossRegionTraffic = new CrossRegionTraffic({ settings, view: { entryCount: 1 }, metrics: {} as never })
     const services = {
-      crossRegionTraffic: crossings,
+      crossRegionTraffic,
       view,
       settings,
       weights: DEFAULT_WEIGHTS,
--- a/entry/gateway/test/allowed-regions.test.ts
+++ b/entry/gateway/test/allowed-regions.test.ts
@@ -29,10 +29,10 @@
 
 beforeAll(async () => {
   await deployment.start()
-  for (const standIn of all) await deployment.register(standIn)
+  for (const stub of all) await deployment.register(stub)
 })
 afterAll(async () => await deployment.stop())
-beforeEach(() => { for (const standIn of all) standIn.behaviour = answerOk })
+beforeEach(() => { for (const stub of all) stub.behaviour = answerOk })
 
 describe('a request with allowed regions', () => {
   it.each<[string, RegionLists]>([
--- a/entry/gateway/test/cold-endpoint-fixture.ts
+++ b/entry/gateway/test/cold-endpoint-fixture.ts
@@ -17,7 +17,7 @@
   readonly grantRequests: GrantRequest[][] = []
   wakeCount = 0
   entries = 1
-  answerGrants: (wishes: GrantRequest[]) => Promise<Grant[]> = async () => []
+  answerGrants: (requests: GrantRequest[]) => Promise<Grant[]> = async () => []
   readonly coldEndpoints: ColdEndpoints
   private readonly leases = new Map<string, KnownLease>()
   private calls = 0
@@ -30,9 +30,9 @@
       coldLimitOf: (service) => service === 'plain' ? undefined : COLD_LIMIT,
       endpoints: () => this.endpoints,
       entryCount: () => this.entries,
-      requestGrants: async (wishes) => {
-        this.grantRequests.push(wishes)
-        return await this.answerGrants(wishes)
+      requestGrants: async (requests) => {
+        this.grantRequests.push(requests)
+        return await this.answerGrants(requests)
       },
       wake: () => { this.wakeCount += 1 },
       grantPool: new GrantPool()
--- a/entry/gateway/test/cold-endpoint-scenarios.test.ts
+++ b/entry/gateway/test/cold-endpoint-scenarios.test.ts
@@ -72,10 +72,10 @@
     for (let index = 0; index < this.scenario.warm; index += 1) box.receiveLease(`warm-${index}`, 0)
     for (let index = 0; index < this.scenario.cold; index += 1) box.receiveLease(`cold-${index}`, LONG_COLD_MS)
     box.entries = this.scenario.boxes
-    box.answerGrants = async (wishes) => {
+    box.answerGrants = async (requests) => {
       this.grantRequests += 1
-      return wishes.map(
-        (wish) => this.ledger.grant({ ...wish, box: name, bounds: [createColdGrantBound(MAX_REQUESTS_PER_SECOND)] }, performance.now())
+      return requests.map(
+        (each) => this.ledger.grant({ ...each, box: name, bounds: [createColdGrantBound(MAX_REQUESTS_PER_SECOND)] }, performance.now())
       )
     }
     return box
--- a/entry/gateway/test/cold-endpoints.test.ts
+++ b/entry/gateway/test/cold-endpoints.test.ts
@@ -135,7 +135,7 @@
     const box = new Box()
     box.receiveLease('i-1', LONG_COLD_MS)
     box.receiveLease('i-2', LONG_COLD_MS)
-    box.answerGrants = async (wishes) => wishes.map(({ incarnation }) => grant(incarnation, 1))
+    box.answerGrants = async (requests) => requests.map(({ incarnation }) => grant(incarnation, 1))
     box.eligible()
     await settle()
     // One grant is available, and two requests arrived recently.
--- a/entry/gateway/test/cross-region-traffic.test.ts
+++ b/entry/gateway/test/cross-region-traffic.test.ts
@@ -28,11 +28,11 @@
 
 beforeAll(async () => {
   await deployment.start()
-  for (const standIn of both) await deployment.register(standIn)
+  for (const stub of both) await deployment.register(stub)
   await deployment.configure(1)
 })
 afterAll(async () => await deployment.stop())
-beforeEach(() => { for (const standIn of both) standIn.behaviour = answerOk })
+beforeEach(() => { for (const stub of both) stub.behaviour = answerOk })
 
 it('requests stay in the region of their gateway while its endpoints accept them, and are sent to another region otherwise', async () => {
   for (let count = 0; count < 20; count += 1) await send('x')
--- a/entry/gateway/test/endpoint-restart.test.ts
+++ b/entry/gateway/test/endpoint-restart.test.ts
@@ -5,12 +5,12 @@
 import { until } from '@gullwall/bench.deployment'
 import { GatewayDeployment, StubEndpoint } from './gateway-deployment.ts'
 
-const standIn = new StubEndpoint('e', 'app')
-const deployment = new GatewayDeployment([standIn])
+const stub = new StubEndpoint('e', 'app')
+const deployment = new GatewayDeployment([stub])
 const PROMPT = { 'x-gullwall-prompt-parts': 'shared:20000,own:10' }
 
 async function report (born: number, sequence: number, state: 'ready' | 'draining' | 'gone' = 'ready'): Promise<void> {
-  const { service, address, dataCentre } = standIn
+  const { service, address, dataCentre } = stub
   await deployment.control.get('registrar').receiveHeartbeat({ ...lifeOf('e', born), service, address, dataCentre, slots: 4, state, sequence, ageMs: 0 })
 }
 
@@ -44,5 +44,5 @@
   expect(unreadOf('restarted')).toBe(unreadOf('first'))
   await until('the first incarnation to be removed', () => view().get('e@1000') === undefined)
   expect(view().endpointCount).toBe(1)
-  expect(new Set(standIn.headers.map((headers) => headers['x-gullwall-incarnation']))).toEqual(new Set(['e']))
+  expect(new Set(stub.headers.map((headers) => headers['x-gullwall-incarnation']))).toEqual(new Set(['e']))
 })
--- a/entry/gateway/test/evacuated-data-centres.test.ts
+++ b/entry/gateway/test/evacuated-data-centres.test.ts
@@ -12,10 +12,10 @@
   readonly control = new ControlState()
   readonly withdrawn: string[] = []
   readonly wake = vi.fn()
-  readonly places = new EvacuatedDataCentres({ store: this.store, logger: silentLogger(), view: { wake: this.wake } })
+  readonly dataCentres = new EvacuatedDataCentres({ store: this.store, logger: silentLogger(), view: { wake: this.wake } })
 
   constructor () {
-    this.places.onWithdrawn((dataCentre) => this.withdrawn.push(dataCentre))
+    this.dataCentres.onWithdrawn((dataCentre) => this.withdrawn.push(dataCentre))
   }
 
   order (isEvacuated: boolean): void {
@@ -31,11 +31,11 @@
   it('are those of the current records, and a change wakes waiting requests', () => {
     const fixture = new Fixture()
     fixture.order(true)
-    expect(fixture.places.evacuated).toEqual([])
+    expect(fixture.dataCentres.evacuated).toEqual([])
     fixture.copyRecords()
-    expect(fixture.places.evacuated).toEqual(['dc1'])
-    expect(fixture.places.rule('dc1', {} as never)).toBe('data centre dc1 is evacuated')
-    expect(fixture.places.rule('dc2', {} as never)).toBeUndefined()
+    expect(fixture.dataCentres.evacuated).toEqual(['dc1'])
+    expect(fixture.dataCentres.rule('dc1', {} as never)).toBe('data centre dc1 is evacuated')
+    expect(fixture.dataCentres.rule('dc2', {} as never)).toBeUndefined()
     expect(fixture.wake).toHaveBeenCalledTimes(1)
   })
 
@@ -55,7 +55,7 @@
     fixture.order(false)
     fixture.order(true)
     fixture.copyRecords()
-    expect(fixture.places.evacuated).toEqual(['dc1'])
+    expect(fixture.dataCentres.evacuated).toEqual(['dc1'])
     expect(fixture.withdrawn).toEqual(['dc1', 'dc1'])
   })
 
--- a/entry/gateway/test/evacuation.test.ts
+++ b/entry/gateway/test/evacuation.test.ts
@@ -58,8 +58,8 @@
 
 beforeAll(async () => {
   await deployment.start()
-  for (const [index, standIn] of both.entries()) {
-    const { incarnation, service, address } = standIn
+  for (const [index, stub] of both.entries()) {
+    const { incarnation, service, address } = stub
     const dataCentre = `dc${index + 1}`
     await deployment.control.get('registrar').receiveHeartbeat({ incarnation, service, address, dataCentre, slots: 4, state: 'ready', sequence: 1, ageMs: 0 })
   }
@@ -69,18 +69,18 @@
 afterAll(async () => await deployment.stop())
 afterEach(async () => {
   vi.restoreAllMocks()
-  for (const standIn of both) standIn.behaviour = answerOk
+  for (const stub of both) stub.behaviour = answerOk
   for (const dataCentre of ['dc1', 'dc2']) await applyOrder(dataCentre, false)
 })
 
 /** Sends prompts until one is assigned to an endpoint and cached there; returns the header of that prompt. */
-async function promptCachedAt (standIn: StubEndpoint): Promise<Record<string, string>> {
+async function promptCachedAt (stub: StubEndpoint): Promise<Record<string, string>> {
   for (let subject = 0; subject < 100; subject += 1) {
     const shared = { id: `s${subject}`, tokens: 20_000 }
     const headers = { 'x-gullwall-prompt-parts': `${shared.id}:${shared.tokens},own:10` }
     const { endpoint, why } = firstLine((await call('/open/1', headers)).id)
-    if (endpoint !== standIn.incarnation || why !== 'home of its prompt') continue
-    const { prefixCache } = deployment.gateway.get('view').get(standIn.incarnation) ?? {}
+    if (endpoint !== stub.incarnation || why !== 'home of its prompt') continue
+    const { prefixCache } = deployment.gateway.get('view').get(stub.incarnation) ?? {}
     await until('the prompt to be cached', () => (prefixCache?.copyableTokens([shared], performance.now()) ?? 0) > 0)
     return headers
   }
--- a/entry/gateway/test/gateway-deployment.ts
+++ b/entry/gateway/test/gateway-deployment.ts
@@ -64,7 +64,7 @@
   /** The log lines of all gateways. */
   readonly logLines: string[] = []
 
-  constructor (private readonly standIns: readonly StubEndpoint[], private readonly regions: Record<string, string> = REGIONS) {}
+  constructor (private readonly stubs: readonly StubEndpoint[], private readonly regions: Record<string, string> = REGIONS) {}
 
   async start (): Promise<void> {
     const [listen = ''] = await freeAddresses(1)
@@ -96,7 +96,7 @@
       usageWindowMs: USAGE_WINDOW_MS
     }, { write: (line) => this.logLines.push(line) })
     await this.control.start()
-    for (const standIn of this.standIns) await standIn.start()
+    for (const stub of this.stubs) await stub.start()
     await this.gateway.start()
   }
 
@@ -109,16 +109,16 @@
   }
 
   /** Reports an endpoint to control and waits until the gateway uses it, or no longer uses it. */
-  async register (standIn: StubEndpoint, state: 'ready' | 'draining' = 'ready', sequence = 1, coldMs?: number): Promise<void> {
-    const { incarnation, service, address, dataCentre } = standIn
+  async register (stub: StubEndpoint, state: 'ready' | 'draining' = 'ready', sequence = 1, coldMs?: number): Promise<void> {
+    const { incarnation, service, address, dataCentre } = stub
     await this.control.get('registrar').receiveHeartbeat({
       incarnation, service, address, dataCentre, slots: 4, state, sequence, coldMs, ageMs: 0
     })
     const shouldBeUsable = state === 'ready'
     const isUsable = () => (
-      this.gateway.get('view').usable(standIn.service).some(({ description }) => description.incarnation === standIn.incarnation)
+      this.gateway.get('view').usable(stub.service).some(({ description }) => description.incarnation === stub.incarnation)
     )
-    await until(`${standIn.incarnation} ${state}`, () => isUsable() === shouldBeUsable)
+    await until(`${stub.incarnation} ${state}`, () => isUsable() === shouldBeUsable)
   }
 
   /** Starts another gateway with the same endpoints; the test must stop it. */
@@ -141,7 +141,7 @@
   async stop (): Promise<void> {
     await this.gateway.stop()
     await this.control.stop()
-    for (const standIn of this.standIns) standIn.stop()
+    for (const stub of this.stubs) stub.stop()
   }
 }
 
--- a/entry/gateway/test/gateway.test.ts
+++ b/entry/gateway/test/gateway.test.ts
@@ -29,14 +29,14 @@
 }
 
 function arrivals (id: string): number {
-  return both.reduce((sum, standIn) => sum + standIn.requestIds.filter((arrived) => arrived === id).length, 0)
+  return both.reduce((sum, stub) => sum + stub.requestIds.filter((arrived) => arrived === id).length, 0)
 }
 
 /** Sets the behaviour of the endpoint that receives the next request; all later requests are answered normally. */
 function firstArrival (behaviour: Behaviour): void {
   let isFirst = true
-  for (const standIn of both) {
-    standIn.behaviour = (...args) => {
+  for (const stub of both) {
+    stub.behaviour = (...args) => {
       const chosen = isFirst ? behaviour : answerOk
       isFirst = false
       chosen(...args)
@@ -54,19 +54,19 @@
 beforeAll(async () => {
   await deployment.start()
   expect((await call('/look-up/1')).status).toBe(503)
-  for (const standIn of both) await deployment.register(standIn)
+  for (const stub of both) await deployment.register(stub)
   await deployment.configure(1)
 })
 afterAll(async () => await deployment.stop())
-beforeEach(() => { for (const standIn of both) standIn.behaviour = answerOk })
+beforeEach(() => { for (const stub of both) stub.behaviour = answerOk })
 
 describe('a request through the gateway', () => {
   it('reaches the endpoint unchanged and names the incarnation, the organisation and the time that remains', async () => {
     const reply = await call('/order/5?x=%20y', { body: 'two wheels', headers: { 'x-gullwall-wait-ms': '900', 'x-other': 'Kept' } })
     expect(reply).toMatchObject({ status: 200, text: 'POST /order/5?x=%20y two wheels' })
-    const standIn = both.find(({ requestIds }) => requestIds.includes(reply.id))
-    const headers = standIn?.headers[standIn.requestIds.indexOf(reply.id)] ?? {}
-    expect(headers).toMatchObject({ 'x-gullwall-incarnation': standIn?.incarnation, 'x-gullwall-organisation': 'workshop', 'x-other': 'Kept' })
+    const stub = both.find(({ requestIds }) => requestIds.includes(reply.id))
+    const headers = stub?.headers[stub.requestIds.indexOf(reply.id)] ?? {}
+    expect(headers).toMatchObject({ 'x-gullwall-incarnation': stub?.incarnation, 'x-gullwall-organisation': 'workshop', 'x-other': 'Kept' })
     expect(headers['authorization']).toBeUndefined()
     expect(Number(headers['x-gullwall-wait-ms'])).toBeGreaterThan(500)
     expect(Number(headers['x-gullwall-wait-ms'])).toBeLessThan(900)
@@ -125,8 +125,8 @@
   })
 
   it('is refused with a retry-after header if no endpoint ran it and no attempt is left', async () => {
-    for (const standIn of both) {
-      standIn.behaviour = (_incoming, response) => { response.writeHead(503, { 'x-gullwall-ran': 'no' }).end() }
+    for (const stub of both) {
+      stub.behaviour = (_incoming, response) => { response.writeHead(503, { 'x-gullwall-ran': 'no' }).end() }
     }
     const reply = await call('/order/8', { body: 'x' })
     expect(reply.status).toBe(503)
@@ -150,8 +150,8 @@
   })
 
   it('is sent to no more endpoints than its route allows, and the failure is forwarded', async () => {
-    for (const standIn of both) {
-      standIn.behaviour = (incoming, response) => {
+    for (const stub of both) {
+      stub.behaviour = (incoming, response) => {
         response.writeHead(500, { 'x-gullwall-request-id': String(incoming.headers['x-gullwall-request-id']) }).end('failed')
       }
     }
@@ -190,7 +190,7 @@
   })
 
   it('ends at its deadline, and the endpoint sees that the connection is closed', async () => {
-    for (const standIn of both) standIn.behaviour = () => {}
+    for (const stub of both) stub.behaviour = () => {}
     const before = first.disconnectCount + second.disconnectCount
     const startedAt = performance.now()
     const reply = await call('/order/10', { body: 'x', headers: { 'x-gullwall-wait-ms': '250' } })
@@ -208,7 +208,7 @@
       response.writeHead(200, { 'x-gullwall-request-id': String(incoming.headers['x-gullwall-request-id']), 'x-run': 'first' })
       response.write(`${events(1, 3)}id: 4\nda`, () => setImmediate(() => response.destroy()))
     }
-    for (const standIn of both) standIn.behaviour = answers
+    for (const stub of both) stub.behaviour = answers
     const reply = await call('/draft/1', { body: 'x' })
     expect(reply).toMatchObject({ status: 200, text: events(1, 6) })
     expect(reply.headers['x-run']).toBe('first')
@@ -216,8 +216,8 @@
   })
 
   it('is aborted, and does not end like a complete stream, if it may not be resumed', async () => {
-    for (const standIn of both) {
-      standIn.behaviour = (incoming, response) => {
+    for (const stub of both) {
+      stub.behaviour = (incoming, response) => {
         response.writeHead(200, { 'x-gullwall-request-id': String(incoming.headers['x-gullwall-request-id']) })
         response.write(events(1, 2), () => setImmediate(() => response.destroy()))
       }
@@ -228,8 +228,8 @@
   })
 
   it('is cancelled at the endpoint when its caller disconnects', async () => {
-    for (const standIn of both) {
-      standIn.behaviour = (incoming, response) => {
+    for (const stub of both) {
+      stub.behaviour = (incoming, response) => {
         response.writeHead(200, { 'x-gullwall-request-id': String(incoming.headers['x-gullwall-request-id']) })
         response.write(events(1, 1))
       }
--- a/entry/gateway/test/load-exchange.test.ts
+++ b/entry/gateway/test/load-exchange.test.ts
@@ -30,8 +30,8 @@
   it.each(['unreachable', 'ended'] as const)('is sent at once if an endpoint is %s', async (verdict) => {
     const state = endpoint()
     const { exchange, reports } = exchangeWith(state)
-    const work = state.begin({ prompt: [], unreadTokens: 500, urgency: 3, pauseSensitivity: 0, isPauseSensitive: false }, performance.now())
-    state.end(work, verdict, performance.now())
+    const request = state.begin({ prompt: [], unreadTokens: 500, urgency: 3, pauseSensitivity: 0, isPauseSensitive: false }, performance.now())
+    state.end(request, verdict, performance.now())
     exchange.recordUnreachable()
     await nextTurn()
     expect(reports).toMatchObject([{ works: [{ incarnation: 'i', running: 0, unreachable: 1 }] }])
@@ -74,8 +74,8 @@
   it('of the other entries is kept until a whole message omits the endpoint', () => {
     const state = endpoint()
     const { exchange } = exchangeWith(state)
-    const work = { incarnation: 'i', unread: [{ urgency: 3, tokens: 700 }], running: 5, strain: 1.5, sensitive: 0, unreachable: 0 }
-    exchange.receive({ kind: 'workSums', whole: false, peers: 0, works: [work], holdings: [{ incarnation: 'i', parts: [{ id: 'subject', tokens: 9 }] }] })
+    const load = { incarnation: 'i', unread: [{ urgency: 3, tokens: 700 }], running: 5, strain: 1.5, sensitive: 0, unreachable: 0 }
+    exchange.receive({ kind: 'workSums', whole: false, peers: 0, works: [load], holdings: [{ incarnation: 'i', parts: [{ id: 'subject', tokens: 9 }] }] })
     expect([state.running, state.backlogTokens, state.pauseSensitivity]).toEqual([5, 700, 1.5])
     expect(state.prefixCache.cachedTokens([{ id: 'subject', tokens: 9 }])).toBe(9)
     exchange.receive({ kind: 'workSums', whole: false, peers: 0, works: [], holdings: [] })
--- a/entry/gateway/test/minority-region.test.ts
+++ b/entry/gateway/test/minority-region.test.ts
@@ -67,8 +67,8 @@
   return found
 }
 
-async function heartbeat (standIn: StubEndpoint, state: 'ready' | 'draining' = 'ready'): Promise<void> {
-  const { incarnation, service, address, dataCentre } = standIn
+async function heartbeat (stub: StubEndpoint, state: 'ready' | 'draining' = 'ready'): Promise<void> {
+  const { incarnation, service, address, dataCentre } = stub
   sequence += 1
   await control('s1').get('registrar').receiveHeartbeat({ incarnation, service, address, dataCentre, slots: 4, state, sequence, ageMs: 0 })
 }
@@ -97,14 +97,14 @@
   seeds = await freeAddresses(CONTROLS.length)
   for (const [index, dataCentre] of CONTROLS.entries()) await startControl(dataCentre, seeds[index] ?? '')
   await until('five voters', () => [...controls.values()].every((each) => each.get('quorum').status().voters.length === 5))
-  for (const standIn of [engine, laterEngine]) await standIn.start()
+  for (const stub of [engine, laterEngine]) await stub.start()
   await put(1)
   await heartbeat(engine)
 })
 afterAll(async () => {
   for (const gateway of gateways) await gateway.stop()
   for (const each of controls.values()) await each.stop()
-  for (const standIn of [engine, laterEngine]) standIn.stop()
+  for (const stub of [engine, laterEngine]) stub.stop()
 })
 
 describe('a gateway in the region with fewer control processes', () => {
--- a/entry/gateway/test/usage-tracker.test.ts
+++ b/entry/gateway/test/usage-tracker.test.ts
@@ -47,19 +47,19 @@
 })
 
 describe('the requests that count as begun', () => {
-  const standIn = new StubEndpoint('i-only', 'app')
-  const deployment = new GatewayDeployment([standIn])
+  const stub = new StubEndpoint('i-only', 'app')
+  const deployment = new GatewayDeployment([stub])
   let ids = 0
 
   beforeAll(async () => {
     await deployment.start()
-    await deployment.register(standIn)
+    await deployment.register(stub)
     await deployment.configure(1)
   })
   afterAll(async () => await deployment.stop())
 
   async function call (path: string, behaviour: Behaviour): Promise<void> {
-    standIn.behaviour = behaviour
+    stub.behaviour = behaviour
     const id = `usage-${++ids}`
     const reply = await request(deployment.url(path), { headers: { authorization: 'Bearer secret', 'x-gullwall-request-id': id } })
     await reply.body.dump()
