--- a/entry/gateway/test/load-exchange.test.ts
+++ b/entry/gateway/test/load-exchange.test.ts
@@ -30,8 +30,8 @@
   it.each(['unreachable', 'ended'] as const)('is sent at once if an endpoint is %s', async (verdict) => {
     const state = endpoint()
     const { exchange, reports } = exchangeWith(state)
-    const request = state.begin({ prompt: [], unreadTokens: 500, urgency: 3, pauseSensitivity: 0, isPauseSensitive: false }, performance.now())
-    state.end(request, verdict, performance.now())
+    const sent = state.begin({ prompt: [], unreadTokens: 500, urgency: 3, pauseSensitivity: 0, isPauseSensitive: false }, performance.now())
+    state.end(sent, verdict, performance.now())
     exchange.recordUnreachable()
     await nextTurn()
     expect(reports).toMatchObject([{ works: [{ incarnation: 'i', running: 0, unreachable: 1 }] }])
