--- a/entry/gateway/src/index.ts
+++ b/entry/gateway/src/index.ts
@@ -1,4 +1,4 @@
-/** The gateway: an entry that reaches endpoints directly, put together from its services. */
+/** The gateway: an entry that connects to endpoints directly. This module registers its services. */
 import { nativeFormat, type DocumentFormat } from '@gullwall/config.document'
 import { type GatewaySettings } from '@gullwall/config.settings'
 import { RevisionStore, Spreader } from '@gullwall/config.spread'
@@ -39,7 +39,7 @@
 export interface GatewayServices {
   settings: GatewaySettings
   startId: string
-  /** When this process was put together, by the monotonic clock. */
+  /** When this process created its services, by the monotonic clock. */
   startedAt: number
   logger: Logger
   registry: Registry
@@ -69,15 +69,15 @@
 }
 
 export interface GatewayOptions {
-  /** Where log lines go. */
+  /** Writes a log line. */
   write?: (line: string) => void
-  /** How callers and endpoints speak; the product's own headers unless an adapter brings others. */
+  /** The headers that callers and endpoints use; gullwall's own headers by default. */
   dialect?: CallDialect
   format?: DocumentFormat
   weights?: Partial<ChoiceWeights>
 }
 
-/** Builds a gateway; nothing runs before its kernel is started. */
+/** Creates a gateway; nothing runs until its kernel is started. */
 export function createGateway (settings: GatewaySettings, options: GatewayOptions = {}): Kernel<GatewayServices> {
   return new Kernel<GatewayServices>({ stopDeadlineMs: settings.graceMs })
     .value('settings', settings)
@@ -96,7 +96,7 @@
     .service('crossRegionTraffic', (services) => new CrossRegionTraffic(services))
     .service('evacuatedDataCentres', (services) => new EvacuatedDataCentres(services))
     .service('grantPool', () => new GrantPool())
-    .service('coldEndpoints', createColdEngines)
+    .service('coldEndpoints', createColdEndpoints)
     .service('limits', createLimits)
     .service('eligibility', createEligibility)
     .service('budget', (services) => createBudget(services))
@@ -118,14 +118,14 @@
 
 function createEligibility (services: GatewayServices): EligibilityRules {
   const { evacuatedDataCentres, coldEndpoints, limits, notices } = services
-  // What an engine said of itself before its data centre was emptied may not hold any more.
+  // What an endpoint reported before its data centre was evacuated may no longer be true.
   evacuatedDataCentres.onWithdrawn((dataCentre) => coldEndpoints.assumeCold(dataCentre))
   return {
     dataCentres: [evacuatedDataCentres.rule, createAllowedRegionsRule(services)], endpoints: [notices.rule, coldEndpoints.rule, limits.rule]
   }
 }
 
-function createColdEngines (services: GatewayServices): ColdEndpoints {
+function createColdEndpoints (services: GatewayServices): ColdEndpoints {
   const { settings, logger, view } = services
   return new ColdEndpoints({
     box: settings.box,
@@ -134,7 +134,7 @@
     coldLimitOf: (service) => view.table?.service(service)?.coldLimit,
     endpoints: () => view.all(),
     entryCount: () => view.entryCount,
-    requestGrants: async (wishes) => await services.controlLinks.requestGrants(wishes),
+    requestGrants: async (requests) => await services.controlLinks.requestGrants(requests),
     wake: () => view.wake(),
     grantPool: services.grantPool,
     advertisedLimitOf: (incarnation) => services.limits.limitPerSecond(incarnation)
@@ -145,7 +145,7 @@
   const { logger, view, coldEndpoints, grantPool } = services
   const limits = new EndpointLimits({
     logger,
-    requestGrants: async (wishes) => await services.controlLinks.requestGrants(wishes),
+    requestGrants: async (requests) => await services.controlLinks.requestGrants(requests),
     wake: () => view.wake(),
     now: () => performance.now(),
     grantPool,
--- a/entry/gateway/test/cold-endpoint-fixture.ts
+++ b/entry/gateway/test/cold-endpoint-fixture.ts
@@ -1,4 +1,4 @@
-/** One gateway's part in sparing cold endpoints, before a control process whose answers a test gives. */
+/** A gateway with cold endpoints, and a control process whose answers the test sets. */
 import { type KnownLease } from '@gullwall/control.registry'
 import { silentLogger } from '@gullwall/core.logger'
 import { EndpointState } from '@gullwall/routing.balancer'
@@ -7,17 +7,17 @@
 import { ColdEndpoints } from '../src/cold-endpoints.ts'
 import { GrantPool } from '../src/grant-pool.ts'
 
-/** What the services of the tests say: 21 requests within a second by the deployment's overrun of 1.5 and slack of 5. */
+/** The limit of the services; with an overrun of 1.5 and a slack of 5 a cold endpoint receives at most 21 requests a second. */
 export const COLD_LIMIT = { perSecond: 11, startMs: 6000 }
 export const MAX_REQUESTS_PER_SECOND = 21
 
-/** One box before a control process whose answers a test gives. */
+/** One box with a gateway. */
 export class Box {
   readonly endpoints: EndpointState[] = []
   readonly grantRequests: GrantRequest[][] = []
   wakeCount = 0
   entries = 1
-  answerGrants: (wishes: GrantRequest[]) => Promise<Grant[]> = async () => []
+  answerGrants: (requests: GrantRequest[]) => Promise<Grant[]> = async () => []
   readonly coldEndpoints: ColdEndpoints
   private readonly leases = new Map<string, KnownLease>()
   private calls = 0
@@ -30,16 +30,16 @@
       coldLimitOf: (service) => service === 'plain' ? undefined : COLD_LIMIT,
       endpoints: () => this.endpoints,
       entryCount: () => this.entries,
-      requestGrants: async (wishes) => {
-        this.grantRequests.push(wishes)
-        return await this.answerGrants(wishes)
+      requestGrants: async (requests) => {
+        this.grantRequests.push(requests)
+        return await this.answerGrants(requests)
       },
       wake: () => { this.wakeCount += 1 },
       grantPool: new GrantPool()
     })
   }
 
-  /** Hears of an endpoint, for the first time or again. */
+  /** Receives the lease of an endpoint, for the first time or again. */
   receiveLease (incarnation: string, coldMs: number | undefined, { dataCentre = 'dc1', service = 'lm', ageMs = 0 } = {}): EndpointState {
     const lease: KnownLease = {
       incarnation, service, dataCentre, coldMs, address: `${incarnation}:80`, slots: 64, state: 'ready', sequence: 1, receivedAt: performance.now() - ageMs
--- a/entry/gateway/test/primary-link-selector.test.ts
+++ b/entry/gateway/test/primary-link-selector.test.ts
@@ -7,40 +7,40 @@
   return { peer: { dataCentre } } as unknown as Link
 }
 
-describe('the control process that an entry listens to', () => {
+describe('the control process with which an entry exchanges load', () => {
   const [far, near, farther] = ['dc2', 'dc1', 'dc3'].map(linkTo) as [Link, Link, Link]
   const links = [far, near, farther]
 
-  it('is one in its data centre, or any', () => {
-    const choice = new PrimaryLinkSelector('dc1')
-    expect(choice.select(links, 3, 0)).toBe(near)
-    expect(choice.select([far, farther], 3, 0)).toBe(far)
-    expect(choice.select([], 3, 0)).toBeUndefined()
+  it('is one in its data centre, or else any', () => {
+    const selector = new PrimaryLinkSelector('dc1')
+    expect(selector.select(links, 3, 0)).toBe(near)
+    expect(selector.select([far, farther], 3, 0)).toBe(far)
+    expect(selector.select([], 3, 0)).toBeUndefined()
   })
 
-  it('is one in its region where its data centre has none', () => {
-    const choice = new PrimaryLinkSelector('dc4', new Regions({ dc1: 'south', dc2: 'south', dc3: 'north', dc4: 'north' }))
-    expect(choice.select(links, 3, 0)).toBe(farther)
-    expect(choice.select([far, near], 3, 0)).toBe(far)
-    expect(choice.sortByDistance(links)).toEqual([farther, far, near])
+  it('is one in its region if its data centre has none', () => {
+    const selector = new PrimaryLinkSelector('dc4', new Regions({ dc1: 'south', dc2: 'south', dc3: 'north', dc4: 'north' }))
+    expect(selector.select(links, 3, 0)).toBe(farther)
+    expect(selector.select([far, near], 3, 0)).toBe(far)
+    expect(selector.sortByDistance(links)).toEqual([farther, far, near])
   })
 
-  it('is another while that one is cut off from most of its peers, for as long as that is known', () => {
-    const choice = new PrimaryLinkSelector('dc1')
-    choice.recordPeers(near, 0, 1000)
-    expect(choice.select(links, 3, 1100)).toBe(far)
-    choice.recordPeers(far, 0, 1200)
-    expect(choice.select(links, 3, 1300)).toBe(farther)
-    choice.recordPeers(farther, 0, 1400)
-    expect(choice.select(links, 3, 1500)).toBe(near)
-    expect(choice.select(links, 3, 10_000)).toBe(near)
+  it('is another one while the nearest is known to be disconnected from most of its peers', () => {
+    const selector = new PrimaryLinkSelector('dc1')
+    selector.recordPeers(near, 0, 1000)
+    expect(selector.select(links, 3, 1100)).toBe(far)
+    selector.recordPeers(far, 0, 1200)
+    expect(selector.select(links, 3, 1300)).toBe(farther)
+    selector.recordPeers(farther, 0, 1400)
+    expect(selector.select(links, 3, 1500)).toBe(near)
+    expect(selector.select(links, 3, 10_000)).toBe(near)
   })
 
-  it('stays where a minority is missing, and where there are no others', () => {
-    const choice = new PrimaryLinkSelector('dc1')
-    choice.recordPeers(near, 2, 0)
-    expect(choice.select(links, 5, 100)).toBe(near)
-    choice.recordPeers(near, 0, 0)
-    expect(choice.select(links, 1, 100)).toBe(near)
+  it('stays the same if a minority of peers is missing, or if there is no other', () => {
+    const selector = new PrimaryLinkSelector('dc1')
+    selector.recordPeers(near, 2, 0)
+    expect(selector.select(links, 5, 100)).toBe(near)
+    selector.recordPeers(near, 0, 0)
+    expect(selector.select(links, 1, 100)).toBe(near)
   })
 })
