--- a/routing/balancer/src/candidate-set.ts
+++ b/routing/balancer/src/candidate-set.ts
@@ -1,9 +1,8 @@
 /**
- * Which endpoints are weighed for one request. On a small fleet these are all. Weighing all of a large one took 5.4 ms for
- * 3,000 endpoints and 31 ms for 12,000, so that of those come only the few that the choice could fall on: some that keep the
- * prompt, the home of its subject, and a sample of the rest, half of it from the own data centre. Of 16 endpoints taken at
- * random the best is among the first tenth of all with a probability of 0.81, and reading a prompt anew costs more than
- * what lies between these. Twice as many in the sample took 1.7 times as long at 3,000 endpoints as weighing 36.
+ * Selects the endpoints that are scored for one request: all endpoints of a small fleet. Scoring all of a large fleet takes too long
+ * (31 ms for 12,000 endpoints). There, only some endpoints with the prompt cached, the affinity endpoint and a random sample of the
+ * others are scored, half of the sample from the own data centre. The best of 16 random endpoints is in the top tenth with a
+ * probability of 0.81, and the remaining difference in cost is smaller than the prefill of a prompt.
  */
 import { mayHave, subjectOf, type Demand } from './choose.ts'
 import { type EndpointPool, type PlacePool } from './endpoint-pool.ts'
@@ -12,47 +11,47 @@
 import { type Keepers } from './keepers.ts'
 import { SortedList } from './sorted-list.ts'
 
-/** Up to so many endpoints are all weighed: the users' fleets have up to 41, and 96 take 0.15 ms. */
+/** A fleet of at most this many endpoints is scored completely; that takes 0.15 ms for 96. */
 export const WEIGH_ALL_UP_TO = 96
-/** So many that keep most of the prompt are weighed; what waits there tells between them. */
-const KEEPERS = 8
-/** So many of the rest come from the own data centre. */
-const NEAR_SAMPLE = 8
-/** And so many from all data centres. */
-const FAR_SAMPLE = 8
-/** For one that may have the request, so many are looked at. */
-const LOOKS_PER_FOUND = 4
-/** So many are looked at where none of those was found: on a fleet of which one in a hundred has room, one is found 9 times in 10. */
-const LAST_LOOKS = 256
+/** The number of endpoints with the longest cached prefix to score; the load decides between them. */
+const PREFIX_HOLDERS = 8
+/** The sample size from the own data centre. */
+const LOCAL_SAMPLE = 8
+/** The sample size from all data centres. */
+const GLOBAL_SAMPLE = 8
+/** The number of random draws for each endpoint of a sample, since some can't accept the request. */
+const DRAWS_PER_ENDPOINT = 4
+/** The number of draws per data centre if nothing was found. If 1 % of the endpoints have room, 9 of 10 searches succeed. */
+const FALLBACK_DRAWS = 256
 
-/** The endpoints among which a request is to go. */
+/** The endpoints that a request can choose from, and the rules that exclude some of them. */
 export interface Choosable {
   pool: EndpointPool
   keepers: Keepers
-  /** Whether anything may be sent to a data centre for the request; asked once for each. */
+  /** Whether the request may be sent to a data centre; called once for each data centre. */
   mayGoTo: (dataCentre: string) => boolean
-  /** Whether an endpoint may have the request, whatever it costs. */
+  /** Whether the request may be sent to an endpoint. */
   accepts: (endpoint: EndpointState) => boolean
-  /** From 0 to 1. */
+  /** Returns a random number from 0 to 1. */
   random: () => number
 }
 
 export interface CandidateSet {
   endpoints: readonly EndpointState[]
-  /** The home of the prompt's subject in each region; not given where all are weighed. */
+  /** The affinity endpoint of the prompt in each region; undefined if all endpoints are scored. */
   homes: readonly EndpointState[] | undefined
-  /** From which parts of the prompt can be copied. */
+  /** Endpoints from which parts of the prompt can be copied. */
   sources: readonly EndpointState[]
 }
 
-/** Gives the endpoints to weigh for a request. */
+/** Returns the endpoints to score for a request. */
 export function candidateSet (demand: Demand, choosable: Choosable): CandidateSet {
   const places = [...choosable.pool.places].filter(({ dataCentre }) => choosable.mayGoTo(dataCentre))
   const count = places.reduce((sum, { members }) => sum + members.items.length, 0)
-  return count <= WEIGH_ALL_UP_TO ? allOf(choosable, places) : someOf(demand, choosable, places)
+  return count <= WEIGH_ALL_UP_TO ? allCandidates(choosable, places) : sampledCandidates(demand, choosable, places)
 }
 
-function allOf ({ pool, accepts }: Choosable, places: readonly PlacePool[]): CandidateSet {
+function allCandidates ({ pool, accepts }: Choosable, places: readonly PlacePool[]): CandidateSet {
   const allowed = new Set(places.map(({ dataCentre }) => dataCentre))
   const isWhole = allowed.size === [...pool.places].length
   const members = isWhole ? pool.members.items : bySeniority(places)
@@ -64,18 +63,18 @@
   return places.flatMap(({ members }) => members.items).sort((left, right) => left.seniority - right.seniority)
 }
 
-function someOf (demand: Demand, choosable: Choosable, places: readonly PlacePool[]): CandidateSet {
+function sampledCandidates (demand: Demand, choosable: Choosable, places: readonly PlacePool[]): CandidateSet {
   const { pool, keepers, random } = choosable
-  const accepts = (endpoint: EndpointState) => isIn(pool, places, endpoint) && choosable.accepts(endpoint)
-  const sources = [...keepers.of({ prompt: demand.prompt, most: KEEPERS, accepts, random })]
-  const homes = byRegionOf(demand, places).flatMap((group) => homeOf(demand, choosable, group) ?? [])
+  const accepts = (endpoint: EndpointState) => isInPools(pool, places, endpoint) && choosable.accepts(endpoint)
+  const sources = [...keepers.of({ prompt: demand.prompt, most: PREFIX_HOLDERS, accepts, random })]
+  const homes = groupPoolsByRegion(demand, places).flatMap((group) => homeOf(demand, choosable, group) ?? [])
   const found = new Set([...sources, ...homes].filter((endpoint) => mayHave(demand, endpoint)))
   new Sampler(demand, choosable, found).sampleAll(places)
   return { endpoints: [...found], homes, sources }
 }
 
-/** The places of each region; all together where there is only one. */
-function byRegionOf ({ crossing }: Demand, places: readonly PlacePool[]): PlacePool[][] {
+/** Groups data centre pools by region; there is one group if the deployment has one region. */
+function groupPoolsByRegion ({ crossing }: Demand, places: readonly PlacePool[]): PlacePool[][] {
   const groups = new Map<string, PlacePool[]>()
   for (const place of places) {
     const region = crossing?.regionOf(place.dataCentre) ?? ''
@@ -84,7 +83,7 @@
   return [...groups.values()]
 }
 
-/** The home of a subject is among the reserved engines for a sensitive stream, and among the others for all else. */
+/** Returns the affinity endpoint: a reserved engine for a pause-sensitive stream, another engine for any other request. */
 function homeOf (demand: Demand, { pool, accepts }: Choosable, places: readonly PlacePool[]): EndpointState | undefined {
   const subject = subjectOf(demand.prompt)
   if (subject === undefined) return undefined
@@ -93,19 +92,19 @@
   if (reserved.size === 0) return homeOnRings(subject, rings, accepts)
   const fits = (endpoint: EndpointState) => reserved.has(endpoint) === isSensitive && accepts(endpoint)
   if (!isSensitive || reserved.size > WEIGH_ALL_UP_TO) return homeOnRings(subject, rings, fits)
-  // Few among many would rarely be near a point of the ring.
+  // A few reserved engines among many endpoints would rarely be near the point on the common ring.
   const ring = new SortedList<EndpointState>((endpoint) => endpoint.homePoint)
-  for (const endpoint of reserved) if (isIn(pool, places, endpoint)) ring.add(endpoint)
+  for (const endpoint of reserved) if (isInPools(pool, places, endpoint)) ring.add(endpoint)
   return homeOnRings(subject, [ring], accepts)
 }
 
-/** Whether an endpoint takes new work in one of some places. One that is gone may still be reserved or known to keep a part. */
-function isIn (pool: EndpointPool, places: readonly PlacePool[], endpoint: EndpointState): boolean {
+/** Whether an endpoint is in one of some data centre pools. A removed endpoint may still be reserved or listed as prefix holder. */
+function isInPools (pool: EndpointPool, places: readonly PlacePool[], endpoint: EndpointState): boolean {
   const place = pool.placeOf(endpoint)
   return place !== undefined && places.includes(place)
 }
 
-/** Takes endpoints at random that may have a request and have room for it. */
+/** Adds random endpoints that can accept a request to the candidates. */
 class Sampler {
   constructor (
     private readonly demand: Demand, private readonly choosable: Choosable, private readonly found: Set<EndpointState>
@@ -113,34 +112,34 @@
 
   sampleAll (places: readonly PlacePool[]): void {
     const { demand: { dataCentre, isSensitive, reserved }, choosable: { pool }, found } = this
-    const near = places.find((place) => place.dataCentre === dataCentre)
-    if (near !== undefined) this.sample(near.members.items, near.members.items.length, NEAR_SAMPLE)
-    if (isSensitive && reserved.size > 0) this.sample(pool.byRank.items, reserved.size, NEAR_SAMPLE, places)
+    const local = places.find((place) => place.dataCentre === dataCentre)
+    if (local !== undefined) this.sample(local.members.items, local.members.items.length, LOCAL_SAMPLE)
+    if (isSensitive && reserved.size > 0) this.sample(pool.byRank.items, reserved.size, LOCAL_SAMPLE, places)
     for (const { members: { items } } of places) this.sample(items, items.length, this.shareOf(items.length, places))
-    if (found.size === 0) for (const { members: { items } } of places) this.sample(items, items.length, 1, places, LAST_LOOKS)
+    if (found.size === 0) for (const { members: { items } } of places) this.sample(items, items.length, 1, places, FALLBACK_DRAWS)
   }
 
-  /** How many of the sample from all places are of a place with so many endpoints; the rounding is left to chance. */
+  /** Returns the sample size for a data centre with some number of endpoints, in proportion to all; it is rounded at random. */
   private shareOf (members: number, places: readonly PlacePool[]): number {
     const all = places.reduce((sum, place) => sum + place.members.items.length, 0)
-    return Math.floor(FAR_SAMPLE * members / all + this.choosable.random())
+    return Math.floor(GLOBAL_SAMPLE * members / all + this.choosable.random())
   }
 
-  /** Takes so many of the first `among` endpoints of a list. */
+  /** Adds up to `count` of the first `among` endpoints of a list. */
   private sample (
-    list: readonly EndpointState[], among: number, count: number, within?: readonly PlacePool[], looks = LOOKS_PER_FOUND * count
+    list: readonly EndpointState[], among: number, count: number, within?: readonly PlacePool[], draws = DRAWS_PER_ENDPOINT * count
   ): void {
-    let left = count
-    for (let look = 0; look < looks && left > 0; look += 1) {
+    let missing = count
+    for (let draw = 0; draw < draws && missing > 0; draw += 1) {
       const endpoint = list[Math.floor(this.choosable.random() * Math.min(among, list.length))]
-      if (endpoint === undefined || !this.mayHave(endpoint)) continue
-      if (within !== undefined && !isIn(this.choosable.pool, within, endpoint)) continue
+      if (endpoint === undefined || !this.isSelectable(endpoint)) continue
+      if (within !== undefined && !isInPools(this.choosable.pool, within, endpoint)) continue
       this.found.add(endpoint)
-      left -= 1
+      missing -= 1
     }
   }
 
-  private mayHave (endpoint: EndpointState): boolean {
+  private isSelectable (endpoint: EndpointState): boolean {
     return !this.found.has(endpoint) && mayHave(this.demand, endpoint) && this.choosable.accepts(endpoint)
   }
 }
--- a/routing/balancer/src/choose.ts
+++ b/routing/balancer/src/choose.ts
@@ -1,4 +1,4 @@
-/** The choice of an endpoint: each candidate has a cost in ms, and the least cost wins. */
+/** Chooses an endpoint: each candidate gets a cost in ms, and the candidate with the lowest cost is chosen. */
 import { distanceCost, isWithinReach, leavingOf, perRegion, reservesNear, type Crossing, type Leaving } from './distance.ts'
 import { fitsMemory, memoryCrowding, type RequestSize } from './engine-memory.ts'
 import { type EndpointState } from './endpoint-state.ts'
@@ -7,84 +7,87 @@
 import { spoiltShare, strainOf } from './strain.ts'
 import { urgencyOf } from './urgency.ts'
 
-/** What the choice must know of a request. */
+/** The properties of a request that the choice depends on. */
 export interface Demand {
-  /** The parts of the prompt, in order; none where the request has no prompt. */
+  /** The parts of the prompt in order; empty if the request has no prompt. */
   prompt: readonly PromptPart[]
   dataCentre: string
-  /** What is known of regions; none where there is only one. */
+  /** The regions and the cost of a cross-region request; undefined if the deployment has one region only. */
   crossing?: Crossing
   tier: number
-  /** Whether the caller has had a part of its stream already. */
+  /** Whether the caller has already received a part of its stream. */
   isResumed: boolean
-  /** Whether the endpoints are engines, which put requests back for more urgent ones once their slots are taken. */
+  /** Whether the endpoints are engines. An engine without a free slot preempts a request to run a more urgent one. */
   needsSlot: boolean
-  /** Whether an attempt that fails is the end of it. */
+  /** Whether the request may not be retried after a failed attempt. */
   isOnce?: boolean
-  /** When its first event is due, in ms. */
+  /** The target for the time to the first event, in ms; 0 if there is none. */
   targetMs: number
-  /** The longest pause between events that it bears, in ms; none where the route sets none. */
+  /** The longest acceptable pause between events, in ms; undefined if the route sets no limit. */
   pauseMs: number | undefined
-  /** Endpoints that have had this request already. */
+  /** The incarnations of the endpoints to which this request was already sent. */
   excluded: ReadonlySet<string>
-  /** Endpoints that others can copy parts of prompts from. */
+  /** Endpoints from which other endpoints can copy cached prompt parts. */
   sources: readonly EndpointState[]
-  /** The home of the prompt's subject in each region, where not all endpoints are weighed; looked for among them otherwise. */
+  /**
+   * The affinity endpoint of the prompt in each region, if only some endpoints of the service are scored. If undefined, the
+   * affinity endpoints are computed from the scored endpoints.
+   */
   homes?: readonly EndpointState[] | undefined
   /**
-   * Whether the home of a subject is taken to keep it although nobody has told so: an entry that has just started knows
-   * nothing of what was sent before.
+   * Whether the affinity endpoint is assumed to have the shared prefix cached although no entry has reported it. An entry that
+   * has just started doesn't know what was sent before.
    */
   trustsHome: boolean
-  /** Whether it is a stream that is sensitive to reading, and reads little itself. */
+  /** Whether the request is a stream that prefill on the same engine would delay, and needs little prefill itself. */
   isSensitive: boolean
-  /** What it will hold of an engine's memory; where it is not said, memory is taken to have room. */
+  /** The memory that the request will take at an engine; if undefined, the choice assumes that it fits. */
   size?: RequestSize | undefined
-  /** Engines that are kept free of long reads for such streams. */
+  /** Engines that are reserved for pause-sensitive streams. */
   reserved: ReadonlySet<EndpointState>
 }
 
-/** The weights of the costs, in ms unless the name says otherwise. */
+/** The weights of the cost terms: factors where the name ends in `Weight`, otherwise costs in ms. */
 export interface ChoiceWeights {
-  /** How many times the time to read counts: what is read twice is lost for all. */
+  /** The factor for prefill time; above 1, because repeated prefill of a shared prefix takes capacity from all requests. */
   readWeight: number
-  /** How many times the tokens to copy count, against tokens read once. */
+  /** The factor for copied tokens, relative to the time that their prefill would take. */
   copyWeight: number
-  /** For an endpoint that is not the home of a subject that nobody keeps. */
+  /** For an endpoint that is not the affinity endpoint of the prompt and has no part of it cached. */
   notHome: number
-  /** For a first event that will probably be late. */
+  /** For a first event after its target; multiplied by the estimated probability of that. */
   late: number
-  /** For each request that runs there. */
+  /** For each request in flight at the endpoint. */
   perRunning: number
-  /** For a stream of strain 1 that the reading of this prompt spoils. */
+  /** For a stream of pause sensitivity 1 that the prefill of this prompt delays. */
   spoiltStream: number
-  /** For a stream of strain 1 at an engine that reads all the time. */
+  /** For a stream of pause sensitivity 1 at an engine that is always busy with prefill. */
   streamBesideReads: number
-  /** What a strained stream prefers an engine for each strain that streams there have already: they go together. */
+  /** The reduction for a pause-sensitive stream, per unit of pause sensitivity at the engine: such streams share engines. */
   streamBesideStreams: number
-  /** For a sensitive stream at an engine that is not reserved. */
+  /** For a pause-sensitive stream at an engine that is not reserved. */
   notReserved: number
-  /** For any other prompt at an engine that is reserved. */
+  /** For any other request at a reserved engine. */
   reserved: number
-  /** For an engine all of whose slots are taken. */
+  /** For an engine with no free slot. */
   full: number
-  /** For an engine all of whose memory is taken: as much as reading a prompt of 9,000 tokens once more. */
+  /** For an engine with no free memory; equal to the cost of the prefill of 9,000 tokens. */
   fullMemory: number
   /** For an endpoint in another data centre of the same region. */
   otherDataCentre: number
-  /** For a share of failures of 1. */
+  /** For an endpoint with a failure share of 1. */
   failures: number
   /**
-   * For a request that may not be repeated, at an endpoint that fails all it takes: an engine that fails half of them costs
-   * more than one that is not reserved (1,000).
+   * For a request that may not be retried, at an endpoint with a failure share of 1. An engine that fails half of its requests
+   * must cost more than an engine that is not reserved (1,000).
    */
   failuresOnce: number
   /**
-   * For an endpoint that no other entry can connect to: more than twice what reading a shared part of 13,000 tokens costs
-   * elsewhere (4,400 ms), so that a dead home is left. Not varied.
+   * For an endpoint that no other entry can connect to. More than twice the cost of the prefill of 13,000 tokens elsewhere
+   * (4,400 ms), so that requests don't stay at an unreachable affinity endpoint.
    */
   unreachable: number
-  /** For an endpoint that is silent or was unreachable; higher than anything else. */
+  /** For an endpoint that is silent or ejected; higher than any other cost. */
   suspect: number
 }
 
@@ -108,47 +111,49 @@
   suspect: 100_000
 }
 
-/** From this share of its target on, a first event is the likelier to be late the longer it will take. */
+/** From this multiple of the target, the estimated probability of a late first event rises from 0. */
 const LATE_FROM_TARGETS = 0.6
-/** From here on it is taken to be late: predictions are too short where many send at once. */
+/** At this multiple of the target, it reaches 1. Predictions are too short when many entries send at the same time. */
 const LATE_AT_TARGETS = 1.2
-/** Streams of less strain are not taken together: reading does little to them. */
+/** Streams with a lower pause sensitivity are not co-located: prefill hardly delays them. */
 const STRAINED = 0.3
-/** From this share of its slots on, an engine is avoided: what others send meanwhile comes on top. */
+/** An engine with a larger share of taken slots is avoided: requests sent by other entries meanwhile are not counted yet. */
 const CROWDED_SLOTS = 0.6
-/** The share of an engine's slots that is used; beyond them it would put requests back for more urgent ones. */
+/** The share of an engine's slots that is filled. Beyond it the engine would preempt requests for more urgent ones. */
 const USABLE_SLOTS = 0.95
-/** A prompt with so few tokens to read is read within one step, beside which streams go on. */
+/** The prefill of this many tokens fits into one engine step, which doesn't interrupt streams. */
 const HARMLESS_TOKENS = 1000
 
-/** Fewer shared tokens are not worth a copy, nor word of where they are kept. */
+/** A shared prefix with fewer tokens is neither copied nor reported to other entries. */
 export const MIN_COPY_TOKENS = 1000
 
-/** A candidate with its cost and what went into it. */
+/** An endpoint with its cost and the main values behind it. */
 export interface Candidate {
   endpoint: EndpointState
   cost: number
+  /** Prompt tokens that need prefill at the endpoint: they are neither cached there nor copied. */
   unreadTokens: number
-  /** Its rank at the endpoint. */
+  /** The rank of the request at the endpoint; 0 goes first. */
   urgency: number
-  /** Tokens that the endpoint copies from `source` instead of reading them. */
+  /** Prompt tokens that the endpoint copies from `source`, without prefill. */
   copiedTokens: number
-  /** Another endpoint that is known to keep more of the prompt. */
+  /** Another endpoint that has more of the prompt cached; undefined if no copy is worth it. */
   source: EndpointState | undefined
-  /** How long the first event will probably take: what waits there and is as urgent is read first. In ms. */
+  /** The predicted time to the first event, in ms: its prefill and that of queued requests that are at least as urgent. */
   waitMs: number
+  /** Whether this is the affinity endpoint of the prompt in its region. */
   isHome: boolean
-  /** Why the request leaves its region; none where it stays. */
+  /** Why the request goes to another region; undefined if it stays in its own. */
   leaving?: Leaving
 }
 
-/** Who keeps how much of a prompt. */
+/** How many tokens of a prompt an endpoint has cached. */
 interface Holding {
   endpoint: EndpointState
   tokens: number
 }
 
-/** Chooses among the endpoints of a service; none if all are excluded. */
+/** Chooses the endpoint with the lowest cost; undefined if no endpoint can accept the request. */
 export function choose (
   demand: Demand, endpoints: readonly EndpointState[], now: number, weights = DEFAULT_WEIGHTS
 ): Candidate | undefined {
@@ -159,7 +164,7 @@
   return chosen === undefined ? undefined : { ...chosen, leaving: leavingOf(demand, chosen, candidates) }
 }
 
-/** Gives the cost of every endpoint that may have the request. */
+/** Returns the cost of every endpoint that can accept the request. */
 export function weigh (demand: Demand, endpoints: readonly EndpointState[], now: number, weights = DEFAULT_WEIGHTS): Candidate[] {
   const { prompt, sources, trustsHome } = demand
   const homeNear = perRegion(demand, demand.homes ?? endpoints, (group) => demand.homes === undefined ? homeFor(demand, group) : group[0])
@@ -167,7 +172,7 @@
   const sourceNear = perRegion(demand, sources, (group) => bestSource(prompt, group, now))
   const shared = sharedTokens(prompt)
   const total = tokensOf(prompt)
-  return holdings.filter(({ endpoint }) => mayHave(demand, endpoint)).map(({ endpoint, tokens }) => {
+  return holdings.filter(({ endpoint }) => mayHave(demand, endpoint)).map(({ endpoint, tokens }): Candidate => {
     const isHome = endpoint === homeNear(endpoint)
     const best = sourceNear(endpoint)
     const kept = Math.max(tokens, isHome && trustsHome ? shared : 0)
@@ -190,14 +195,17 @@
 }
 
 /**
- * Shared tokens that were sent to an endpoint with another request and are not read there yet. A request that overtook that
- * one would read them a second time.
+ * Returns the prompt tokens whose prefill is still pending at an endpoint for an earlier request. A request that overtakes the
+ * earlier one would repeat that prefill.
  */
 function pendingTokens ({ prefixes }: EndpointState, { prompt }: Demand, now: number): number {
   return prefixes.cachedTokens(prompt) - prefixes.copyableTokens(prompt, now)
 }
 
-/** Whether an endpoint may have the request: it has not had it, and an engine has room for it. */
+/**
+ * Whether an endpoint can accept the request: the request wasn't sent there before, the link to its region has capacity, and
+ * an engine has a slot and memory for it. Requests of tier 0 and resumed streams go first, and need neither slot nor memory.
+ */
 export function mayHave (demand: Demand, endpoint: EndpointState): boolean {
   const { excluded, needsSlot, tier, isResumed, size } = demand
   if (!isWithinReach(demand, endpoint)) return false
@@ -207,34 +215,34 @@
   return hasSlot(endpoint) && (size === undefined || fitsMemory(endpoint.memoryShareWith(size)))
 }
 
-/** Whether an engine has a slot for a request that does not go before others. */
+/** Whether an engine has a free slot for a request that doesn't go first. */
 export function hasSlot (endpoint: EndpointState): boolean {
   return takenSlots(endpoint) < USABLE_SLOTS
 }
 
-/** The share of its slots that is taken; 0 where an endpoint does not say how many it has. */
+/** Returns the share of taken slots; 0 if the endpoint doesn't report how many slots it has. */
 function takenSlots ({ description: { slots }, running }: EndpointState): number {
   return slots > 0 ? running / slots : 0
 }
 
-/** How likely a first event is late that will probably take so long; from 0 to 1. */
+/** Estimates the probability, from 0 to 1, that a first event predicted after `waitMs` misses its target. */
 function lateShare (waitMs: number, targetMs: number): number {
   if (targetMs <= 0) return 0
   return Math.min(1, Math.max(0, (waitMs / targetMs - LATE_FROM_TARGETS) / (LATE_AT_TARGETS - LATE_FROM_TARGETS)))
 }
 
-/** How many streams of strain 1 the reading of so many tokens spoils, with what waits to be read before and after it. */
+/** Estimates how many streams of pause sensitivity 1 are delayed by the prefill of some tokens and of the backlog. */
 function spoiltStreams ({ strain, reading, backlogTokens }: EndpointState, unreadTokens: number): number {
   const readMs = (backlogTokens + unreadTokens) / reading.tokensPerMs
   return strain * spoiltShare(readMs) * Math.min(1, unreadTokens / HARMLESS_TOKENS)
 }
 
-/** The subject of a prompt: its deepest part that other requests share. */
+/** Returns the id of the deepest prompt part that other requests share; that of the only part if there is just one. */
 export function subjectOf (prompt: readonly PromptPart[]): string | undefined {
   return (prompt.at(-2) ?? prompt.at(-1))?.id
 }
 
-/** The tokens of a prompt up to and including its subject. */
+/** Returns the number of tokens in the shared prefix of a prompt: all parts but the last. */
 export function sharedTokens (prompt: readonly PromptPart[]): number {
   return tokensOf(prompt.slice(0, -1))
 }
@@ -243,7 +251,7 @@
   return prompt.reduce((tokens, part) => tokens + part.tokens, 0)
 }
 
-/** The endpoint that keeps the subject of a prompt. */
+/** Returns the affinity endpoint of a prompt. */
 export function homeFor (demand: Demand, endpoints: readonly EndpointState[]): EndpointState | undefined {
   return homeOf(demand.prompt, homesFor(demand, endpoints))
 }
@@ -253,7 +261,7 @@
   return subject === undefined ? undefined : rendezvousFirst(subject, endpoints, (endpoint) => endpoint.description.incarnation)
 }
 
-/** The endpoint that answers and has read most of the prompt before. */
+/** Returns the healthy endpoint from which the longest prefix of the prompt can be copied. */
 function bestSource (prompt: readonly PromptPart[], endpoints: readonly EndpointState[], now: number): Holding | undefined {
   let best: Holding | undefined
   for (const endpoint of endpoints) {
@@ -268,7 +276,7 @@
   return endpoint.isEjected(now) || endpoint.isSilent(now)
 }
 
-/** The cost of an endpoint whatever the prompt, but for what waits there. */
+/** Returns the cost of an endpoint, without prefill, copies and the wait for the backlog. */
 function loadCost (endpoint: EndpointState, demand: Demand, now: number, weights: ChoiceWeights): number {
   const distance = distanceCost(demand, endpoint, weights.otherDataCentre)
   const failures = endpoint.failureShare * weights.failures + endpoint.unreachableShare * weights.unreachable +
@@ -279,7 +287,7 @@
     reservationCost(endpoint, demand, weights) + distance + failures + suspicion
 }
 
-/** The engines among which a prompt has its home: the reserved ones for sensitive streams, the others for all else. */
+/** Returns the endpoints for rendezvous hashing: reserved engines for pause-sensitive streams, the others for all else. */
 function homesFor ({ isSensitive, reserved }: Demand, endpoints: readonly EndpointState[]): readonly EndpointState[] {
   if (reserved.size === 0) return endpoints
   const homes = endpoints.filter((endpoint) => reserved.has(endpoint) === isSensitive)
@@ -292,19 +300,22 @@
   return isSensitive ? weights.notReserved : weights.reserved
 }
 
-/** Strained streams go where little is read, and together, so that the other engines can read. */
+/**
+ * For pause-sensitive streams, engines with little prefill and with other such streams cost less: the remaining engines are
+ * then free for prefill.
+ */
 function streamCost ({ reading, strain: strainThere }: EndpointState, { pauseMs }: Demand, weights: ChoiceWeights): number {
   const strain = strainOf(pauseMs, reading.pauseMs)
   const company = strain > STRAINED ? weights.streamBesideStreams * strainThere : 0
   return weights.streamBesideReads * strain * reading.share - company
 }
 
-/** Rises with the square of the memory that would be taken. */
+/** Rises with the square of the memory utilisation that the request would cause. */
 function memoryCost (endpoint: EndpointState, { needsSlot, size }: Demand, weights: ChoiceWeights): number {
   return needsSlot && size !== undefined ? weights.fullMemory * memoryCrowding(endpoint.memoryShareWith(size)) : 0
 }
 
-/** Rises with the square of the taken slots, up to the weight where all are taken. */
+/** Rises with the square of the slot utilisation, up to the weight when no slot is free. */
 function crowdingCost (endpoint: EndpointState, weights: ChoiceWeights): number {
   const crowding = Math.max(0, (takenSlots(endpoint) - CROWDED_SLOTS) / (1 - CROWDED_SLOTS))
   return weights.full * crowding ** 2
--- a/routing/balancer/src/distance.ts
+++ b/routing/balancer/src/distance.ts
@@ -1,35 +1,35 @@
 /**
- * What the choice makes of regions: requests stay in their own while it has room, each prompt has one home in every region,
- * and engines copy from engines of their own region only.
+ * Regions in the choice of an endpoint: a request stays in its own region while that has room, a prompt has one affinity endpoint
+ * in each region, and engines copy prompt parts only from engines of their own region.
  */
 import { type Candidate, type Demand } from './choose.ts'
 import { type EndpointState } from './endpoint-state.ts'
 
-/** What the choice knows of regions for one request; a deployment in one region gives none. */
+/** The regions as seen by one request. */
 export interface Crossing {
   regionOf: (dataCentre: string) => string
   /**
-   * What it costs to have this request answered in another region, in ms: time, and bytes at their price; none where the link
-   * between regions has no room for it now.
+   * The cost of sending this request to another region, in ms: the round trip and a price for its bytes. Undefined if the link
+   * between regions has no capacity for it now.
    */
   costMs: number | undefined
 }
 
-/** Why a candidate of another region was preferred. */
+/** The comparison that led to an endpoint in another region. */
 export interface Leaving {
   region: string
-  /** What the way there and back was taken to cost, in ms. */
+  /** The part of the cost that is due to the other region, in ms. */
   costMs: number
-  /** What the best endpoint of the own region would have cost; none where it had none. */
+  /** The lowest cost in the own region; undefined if no endpoint there can accept the request. */
   stayCost: number | undefined
 }
 
 /**
- * How much worse its own region must be before a request leaves it at all, in ms: more than the cost of an engine that is
- * not the home of a prompt (200), so that the ordinary differences between engines send nothing over the link. A first event
- * that is late for half (750) and an engine with five sixths of its slots taken (1020) are well above.
+ * The fixed cost of another region, in ms. It exceeds the cost of an engine that is not the affinity endpoint (200), so that the
+ * ordinary differences between engines send no request over the link. It is well below the cost of a first event that is late with
+ * a probability of a half (750), and of an engine with five sixths of its slots taken (1020).
  */
-const LEAVING_MS = 300
+const CROSS_REGION_MS = 300
 
 function regionOf ({ crossing }: Demand, { description }: EndpointState): string {
   return crossing?.regionOf(description.dataCentre) ?? ''
@@ -39,20 +39,20 @@
   return demand.crossing !== undefined && regionOf(demand, endpoint) !== demand.crossing.regionOf(demand.dataCentre)
 }
 
-/** Whether the link between regions has room for the request, if it has to take it. */
+/** Whether an endpoint is in the request's own region, or the link to other regions has capacity for the request. */
 export function isWithinReach (demand: Demand, endpoint: EndpointState): boolean {
   return demand.crossing?.costMs !== undefined || !isOtherRegion(demand, endpoint)
 }
 
-/** What the way to an endpoint costs, in ms. */
+/** Returns the cost of the distance to an endpoint, in ms. */
 export function distanceCost (demand: Demand, endpoint: EndpointState, otherDataCentreMs: number): number {
   if (endpoint.description.dataCentre === demand.dataCentre) return 0
-  return isOtherRegion(demand, endpoint) ? LEAVING_MS + (demand.crossing?.costMs ?? 0) : otherDataCentreMs
+  return isOtherRegion(demand, endpoint) ? CROSS_REGION_MS + (demand.crossing?.costMs ?? 0) : otherDataCentreMs
 }
 
 /**
- * Whether engines are reserved in the region of an endpoint. Where none are, streams must not leave for those that another
- * region reserves: with all of them gone, their own region would never reserve any.
+ * Whether engines are reserved in the region of an endpoint. Without a reservation in their own region, streams must not prefer the
+ * reserved engines of another region: their own region would then have no such streams, and would never reserve an engine.
  */
 export function reservesNear (demand: Demand, endpoint: EndpointState): boolean {
   if (demand.crossing === undefined) return demand.reserved.size > 0
@@ -61,7 +61,7 @@
   return false
 }
 
-/** The endpoints of each region; all together where there is only one. */
+/** Groups endpoints by region; there is one group if the deployment has one region. */
 export function byRegion (demand: Demand, endpoints: readonly EndpointState[]): Map<string, readonly EndpointState[]> {
   if (demand.crossing === undefined) return new Map([['', endpoints]])
   const groups = new Map<string, EndpointState[]>()
@@ -74,7 +74,7 @@
   return groups
 }
 
-/** Finds something once for each region, and gives it for any endpoint there. */
+/** Computes a value once for each region; the returned function gives the value for the region of an endpoint. */
 export function perRegion<T> (
   demand: Demand, endpoints: readonly EndpointState[], find: (group: readonly EndpointState[]) => T
 ): (endpoint: EndpointState) => T | undefined {
@@ -82,13 +82,13 @@
   return (endpoint) => found.get(regionOf(demand, endpoint))
 }
 
-/** Why the chosen candidate leaves the request's region; undefined where it stays. */
+/** Explains the choice of an endpoint in another region; undefined if the request stays in its own region. */
 export function leavingOf (demand: Demand, chosen: Candidate, candidates: readonly Candidate[]): Leaving | undefined {
   if (!isOtherRegion(demand, chosen.endpoint)) return undefined
-  const staying = candidates.filter(({ endpoint }) => !isOtherRegion(demand, endpoint)).map(({ cost }) => cost)
+  const localCosts = candidates.filter(({ endpoint }) => !isOtherRegion(demand, endpoint)).map(({ cost }) => cost)
   return {
     region: regionOf(demand, chosen.endpoint),
-    costMs: LEAVING_MS + (demand.crossing?.costMs ?? 0),
-    stayCost: staying.length === 0 ? undefined : Math.min(...staying)
+    costMs: CROSS_REGION_MS + (demand.crossing?.costMs ?? 0),
+    stayCost: localCosts.length === 0 ? undefined : Math.min(...localCosts)
   }
 }
--- a/routing/balancer/src/index.ts
+++ b/routing/balancer/src/index.ts
@@ -1,4 +1,4 @@
-/** Choosing among endpoints that are reached directly. */
+/** Chooses among endpoints that requests are sent to directly. */
 export * from './candidate-set.ts'
 export * from './choose.ts'
 export * from './distance.ts'
--- a/routing/balancer/src/region-link.ts
+++ b/routing/balancer/src/region-link.ts
@@ -1,23 +1,20 @@
 /**
- * What requests may take of the link between regions, and what it costs them. All requests of a deployment together get a
- * share of the link, and each entry its part of that. The less of its part is left, the dearer a byte: small requests still
- * cross when large ones no longer do.
+ * The budget of requests on the link between regions, and its price. All requests of a deployment together get a share of the link,
+ * which the entries divide equally. The price of a byte rises as an entry's budget is used up, so that small requests still cross
+ * when large ones don't.
  */
 
-/** Where nobody says what the link carries: a little less than the narrowest that is known (42). In Mbit/s. */
+/** The capacity of the link if none is configured, in Mbit/s. */
 const DEFAULT_MBIT_PER_S = 40
-/** What is left to the quorum, to documents, leases and words between processes, and to other users of the link. */
+/** The share of the link for requests. The rest is for the quorum, documents, leases, messages between processes and other users. */
 const SHARE_FOR_REQUESTS = 0.5
-/** How much of its part an entry may send at once, in ms of it. */
+/** The largest burst, as the time in which an entry's part of the link carries it, in ms. */
 const BURST_MS = 1000
-/**
- * A byte between regions costs four times one between data centres, for which a request of usual size (4 kB with its answer)
- * is charged 20 ms.
- */
+/** The price of a kilobyte. It is four times the price between data centres, where a request of 4 kB with its answer costs 20 ms. */
 const MS_PER_KB = 20
-/** How many times as dear the last bytes of a part are as the first. */
-const DEAREST = 10
-/** What a round trip is taken for until one was measured, in ms. */
+/** The price of the last bytes of the budget, relative to the first. */
+const MAX_SCARCITY = 10
+/** The assumed round trip before the first measurement, in ms. */
 const UNMEASURED_ROUND_TRIP_MS = 20
 const ROUND_TRIP_WEIGHT = 0.2
 const BITS_PER_BYTE = 8
@@ -25,56 +22,56 @@
 const MS_PER_S = 1000
 
 export interface RegionLinkOptions {
-  /** What the link carries each way, in Mbit/s, of all traffic together. */
+  /** The capacity of the link in each direction for all traffic, in Mbit/s. */
   mbitPerS?: number | undefined
-  /** How many entries share it. */
+  /** Returns the number of entries that share the link. */
   entries: () => number
   now?: () => number
 }
 
 export class RegionLink {
-  /** From a connection's opening to its answer, in ms. */
+  /** The time to open a connection to another region, in ms; a moving average. */
   roundTripMs = UNMEASURED_ROUND_TRIP_MS
   private readonly now: () => number
-  /** Bytes that are taken and not yet earned again; more than the allowance where answers were longer than expected. */
-  private takenBytes = 0
-  private takenAt: number
+  /** Bytes that count against the budget; more than a burst if answers were longer than expected. */
+  private recordedBytes = 0
+  private recordedAt: number
   private isMeasured = false
 
   constructor (private readonly options: RegionLinkOptions) {
     this.now = options.now ?? (() => performance.now())
-    this.takenAt = this.now()
+    this.recordedAt = this.now()
   }
 
-  /** What it costs to send so many bytes, answer included, in ms; undefined where this entry's part has no room for them. */
+  /** Returns the cost of sending some bytes, answer included, in ms; undefined if this entry's budget has no room for them. */
   costMs (bytes: number): number | undefined {
     const allowance = this.bytesPerMs * BURST_MS
-    const taken = this.taken()
-    // What is larger than a whole part crosses when nothing else does.
-    if (taken > 0 && taken + bytes > allowance) return undefined
-    const scarcity = 1 + (DEAREST - 1) * Math.min(1, taken / allowance)
+    const usedBytes = this.usedBytes()
+    // A request that is larger than the whole budget is allowed while the budget is unused.
+    if (usedBytes > 0 && usedBytes + bytes > allowance) return undefined
+    const scarcity = 1 + (MAX_SCARCITY - 1) * Math.min(1, usedBytes / allowance)
     return this.roundTripMs + MS_PER_KB * scarcity * bytes / BYTES_PER_KB
   }
 
-  /** Notes bytes that cross; negative where fewer came than were noted before. */
+  /** Records bytes that cross the link; negative to correct an estimate that was too high. */
   take (bytes: number): void {
-    this.takenBytes = Math.max(0, this.taken() + bytes)
-    this.takenAt = this.now()
+    this.recordedBytes = Math.max(0, this.usedBytes() + bytes)
+    this.recordedAt = this.now()
   }
 
-  /** Notes how long it took to connect to another region; more traffic than the link carries shows here. */
+  /** Records how long it took to connect to another region. A congested link shows in a longer round trip. */
   noteRoundTrip (ms: number): void {
     this.roundTripMs = this.isMeasured ? this.roundTripMs + ROUND_TRIP_WEIGHT * (ms - this.roundTripMs) : ms
     this.isMeasured = true
   }
 
-  /** This entry's part of the link. */
+  /** The part of the link for requests of this entry. */
   private get bytesPerMs (): number {
     const { mbitPerS = DEFAULT_MBIT_PER_S, entries } = this.options
     return SHARE_FOR_REQUESTS * mbitPerS * 1e6 / BITS_PER_BYTE / MS_PER_S / Math.max(1, entries())
   }
 
-  private taken (): number {
-    return Math.max(0, this.takenBytes - this.bytesPerMs * (this.now() - this.takenAt))
+  private usedBytes (): number {
+    return Math.max(0, this.recordedBytes - this.bytesPerMs * (this.now() - this.recordedAt))
   }
 }
--- a/routing/balancer/src/strain.ts
+++ b/routing/balancer/src/strain.ts
@@ -1,30 +1,30 @@
 /**
- * What reading prompts does to the streams of the same engine: while it reads, each token takes as long as a piece of a
- * prompt, and a stream whose target for its pauses is shorter than that is spoilt by it for good.
+ * The effect of prefill on the streams of the same engine. During prefill, each token of a stream takes as long as one prefill
+ * step. A stream whose limit for pauses is shorter misses that limit.
  */
 
-/** How fast the strain falls with the target: a stream that bears twice the pause counts an eighth. Best of 2, 3 and 8. */
+/** Pause sensitivity falls with this power of the limit for pauses: twice the limit means an eighth of the sensitivity. */
 const STRAIN_EXPONENT = 3
-/** A stream can't be spoilt more than once; that much is kept for those that are spoilt for certain. */
+/** An upper bound: a stream that is certain to be delayed counts only a little more than one that is just at its limit. */
 const MAX_STRAIN = 1.5
 
 /**
- * How much one stream suffers when prompts are read beside it: about 1 where the pauses of streams meanwhile are as long
- * as it bears, 0 where pauses don't matter.
+ * Returns how sensitive a stream is to prefill on its engine: about 1 if the pauses during prefill are as long as its limit, 0
+ * if it has no limit.
  *
- * @param targetPauseMs the longest pause that it bears, if it has a target
- * @param readingPauseMs the pauses of streams there while prompts are read
+ * @param targetPauseMs the longest acceptable pause between events, in ms
+ * @param readingPauseMs the pauses between events during prefill at the engine, in ms
  */
 export function strainOf (targetPauseMs: number | undefined, readingPauseMs: number): number {
   return targetPauseMs === undefined ? 0 : Math.min(MAX_STRAIN, (readingPauseMs / targetPauseMs) ** STRAIN_EXPONENT)
 }
 
-/** Reading for less than this leaves streams alone, in ms: half of the shortest target for pauses that was met. */
+/** Shorter prefill doesn't delay streams, in ms: half of the shortest pause limit in use. */
 const HARMLESS_READ_MS = 100
-/** Reading for so long makes the longest pause that it can, in ms: the tokens of one event, each beside a full step. */
+/** Longer prefill doesn't lengthen pauses any more, in ms: all tokens of one event then fall into full prefill steps. */
 const FULL_READ_MS = 200
 
-/** Which share of the streams of an engine is spoilt if it reads for so long without a break; from 0 to 1. */
+/** Returns the share of an engine's streams, from 0 to 1, that uninterrupted prefill of some duration delays. */
 export function spoiltShare (readMs: number): number {
   return Math.min(1, Math.max(0, (readMs - HARMLESS_READ_MS) / (FULL_READ_MS - HARMLESS_READ_MS)))
 }
--- a/routing/balancer/src/urgency.ts
+++ b/routing/balancer/src/urgency.ts
@@ -1,18 +1,19 @@
-/** The order in which an engine takes the requests that it has: by tier, and within a tier the short reads first. */
+/** The order in which an engine runs its requests: by tier, and within a tier those with little prefill first. */
 
-/** Levels within one tier. */
+/** The number of levels within a tier. */
 const LEVELS = 3
-/** Prompts with at most so many tokens to read are of the first, the second level; longer ones of the last. */
+/** The most tokens to prefill for the first and for the second level; more tokens belong to the last level. */
 const LEVEL_TOKENS = [2500, 8000]
 
 export interface UrgencyOptions {
   tier: number
+  /** Prompt tokens that need prefill. */
   unreadTokens: number
-  /** Whether the caller has had a part of its stream already. */
+  /** Whether the caller has already received a part of its stream. */
   isResumed: boolean
 }
 
-/** A rank for the engine; 0 goes first. */
+/** Returns the rank of a request at an engine; 0 goes first. */
 export function urgencyOf ({ tier, unreadTokens, isResumed }: UrgencyOptions): number {
   const level = isResumed ? 0 : LEVEL_TOKENS.filter((limit) => unreadTokens > limit).length
   return LEVELS * tier + level
