--- a/routing/balancer/src/endpoint-index.ts
+++ b/routing/balancer/src/endpoint-index.ts
@@ -1,26 +1,26 @@
 /**
- * What a choice looks up instead of asking every endpoint: who takes new work for a service, who keeps a part of a prompt,
- * and where this entry has work. Each change is noted when it happens, so that what is looked up is never old.
+ * An index of endpoints, so that a choice needn't check all of them: the endpoints that accept new requests for a service, those
+ * that have a prompt part cached, and those where this entry has requests in flight. Every change updates the index at once.
  */
 import { EndpointPool } from './endpoint-pool.ts'
 import { type EndpointState, type EndpointWatcher } from './endpoint-state.ts'
 import { Keepers } from './keepers.ts'
 
-const NO_ENDPOINTS = new EndpointPool()
+const EMPTY_POOL = new EndpointPool()
 
 export class EndpointIndex implements EndpointWatcher {
   readonly keepers = new Keepers()
-  /** Endpoints with work of this entry, or with something to tell of them. */
+  /** Endpoints with requests of this entry in flight, or with something to report about them. */
   readonly busy = new Set<EndpointState>()
   private readonly pools = new Map<string, EndpointPool>()
   private readonly poolOf = new Map<EndpointState, EndpointPool>()
 
-  /** The endpoints of a service that take new work. */
+  /** Returns the endpoints of a service that accept new requests. */
   pool (service: string): EndpointPool {
-    return this.pools.get(service) ?? NO_ENDPOINTS
+    return this.pools.get(service) ?? EMPTY_POOL
   }
 
-  /** Notes whether an endpoint takes new work; called whenever that, its service or its data centre may have changed. */
+  /** Sets whether an endpoint accepts new requests; called whenever that, its service or its data centre may have changed. */
   setUsable (endpoint: EndpointState, isUsable: boolean): void {
     const { service } = endpoint.description
     const before = this.poolOf.get(endpoint)
@@ -33,23 +33,23 @@
     this.poolOf.set(endpoint, after)
   }
 
-  /** Takes what an endpoint has under way now into what is added up over its service. */
+  /** Updates the totals of a service with the present state of one of its endpoints. */
   count (endpoint: EndpointState): void {
     this.poolOf.get(endpoint)?.census.count(endpoint)
   }
 
-  /** Forgets an endpoint that is gone. */
+  /** Removes an endpoint that no longer exists. */
   forget (endpoint: EndpointState): void {
     this.setUsable(endpoint, false)
     this.busy.delete(endpoint)
     endpoint.prefixes.clear()
   }
 
-  /** Leaves out endpoints of which there is nothing left to tell. */
+  /** Removes endpoints from `busy` that have no request in flight and nothing to report. */
   settle (now: number): void {
     for (const endpoint of this.busy) {
-      const isUntold = endpoint.reading.hasSeen || endpoint.outcomes.hasSeen
-      if (endpoint.inFlight === 0 && !endpoint.isDead(now) && !isUntold) this.busy.delete(endpoint)
+      const hasUnreported = endpoint.reading.hasSeen || endpoint.outcomes.hasSeen
+      if (endpoint.inFlight === 0 && !endpoint.isDead(now) && !hasUnreported) this.busy.delete(endpoint)
     }
   }
 
--- a/routing/balancer/src/endpoint-pool.ts
+++ b/routing/balancer/src/endpoint-pool.ts
@@ -1,4 +1,4 @@
-/** The endpoints of one service that take new work, in the orders that a choice needs; kept up to date one by one. */
+/** The endpoints of one service that accept new requests, sorted in the orders that the choice needs. */
 import { type EndpointState } from './endpoint-state.ts'
 import { EngineCensus } from './engine-census.ts'
 import { SortedList } from './sorted-list.ts'
@@ -8,7 +8,7 @@
   dataCentre: string
   /** In the order in which they became known. */
   readonly members: SortedList<EndpointState>
-  /** In the order in which they follow each other on the ring of homes. */
+  /** In their order on the affinity ring. */
   readonly ring: SortedList<EndpointState>
 }
 
@@ -18,7 +18,7 @@
   /** In the order in which they are reserved. */
   readonly byRank = new SortedList<EndpointState>((endpoint) => endpoint.reservationRank)
   readonly census = new EngineCensus()
-  /** Grows with every change of its members. */
+  /** Increases with every change of the members. */
   version = 0
   private readonly placesByName = new Map<string, PlacePool>()
   private readonly placeOfMember = new Map<EndpointState, PlacePool>()
@@ -31,12 +31,12 @@
     return this.placesByName.values()
   }
 
-  /** The place of an endpoint that takes new work. */
+  /** Returns the pool of the data centre that a member belongs to; undefined if the endpoint is no member. */
   placeOf (endpoint: EndpointState): PlacePool | undefined {
     return this.placeOfMember.get(endpoint)
   }
 
-  /** Whether an endpoint is a member, in the data centre where it says to be. */
+  /** Whether an endpoint is a member, in the data centre of its present description. */
   isPlaced (endpoint: EndpointState): boolean {
     return this.placeOfMember.get(endpoint)?.dataCentre === endpoint.description.dataCentre
   }
--- a/routing/balancer/src/endpoint-state.ts
+++ b/routing/balancer/src/endpoint-state.ts
@@ -1,83 +1,90 @@
-/** What one entry has seen of one incarnation of an endpoint. */
+/** The state of one incarnation of an endpoint, as one entry observes it. */
 import { HeldMemory, NO_MEMORY_USE, sizeOf, type MemoryUse, type RequestSize } from './engine-memory.ts'
 import { PrefixMemory, type PromptPart } from './prefix-memory.ts'
 import { OutcomeObserver } from './outcome-observer.ts'
 import { ReadingObserver } from './reading-observer.ts'
 import { rankOf } from './rendezvous.ts'
 
-/** How an attempt ended, as far as it tells something of the endpoint. */
+/**
+ * What the end of an attempt shows about the endpoint. `ended`: another process answered at its address, so that this incarnation
+ * has ended. `neutral`: nothing.
+ */
 export type AttemptVerdict = 'good' | 'failed' | 'shed' | 'unreachable' | 'ended' | 'neutral'
 
 const FIRST_EJECTION_MS = 500
 const MAX_EJECTION_MS = 4000
+/** The weight of one attempt in the failure share. */
 const FAILURE_WEIGHT = 0.2
-/** With work under way and no byte for so long, an endpoint is taken to be silent, in ms. */
+/** An endpoint with requests in flight counts as silent after this time without a byte from it, in ms. */
 const SILENT_MS = 1200
-/** Nothing arrives while prompts are read; this is far slower than any engine reads them. */
+/** An engine may send nothing during prefill. The time until it counts as silent allows for prefill at this low speed. */
 const SLOWEST_READ_TOKENS_PER_MS = 8
-/** The share of the engine's memory that is taken to hold parts; running requests need the rest. */
+/** The share of an engine's memory that is assumed to hold cached prompt parts; running requests need the rest. */
 const CACHE_SHARE = 0.6
 const DEFAULT_MEMORY_TOKENS = 400_000
 
-/** A prompt that was sent has been read after this time and that of what waits there, in ms. */
+/** The prefill of a prompt counts as complete this long after the prefill of the backlog at the time of sending, in ms. */
 const READ_WITHIN_MS = 600
 
-/** One attempt that is under way. */
+/** One attempt in flight. */
 export interface Work {
   readonly startedAt: number
-  /** Prompt tokens that the endpoint had still to read when the attempt was sent. */
+  /** Prompt tokens that needed prefill when the attempt was sent. */
   readonly unreadTokens: number
-  /** Its rank at the endpoint; what has a lower one is read first. */
+  /** Its rank at the endpoint; requests with a lower rank go first. */
   readonly urgency: number
-  /** All tokens of the prompt; none of them may be kept there after all. */
+  /** All tokens of the prompt, since the endpoint may have none of them cached. */
   readonly promptTokens: number
+  /** The pause sensitivity of its stream; 0 if it is no stream or has no limit for pauses. */
   readonly strain: number
+  /** Whether it is a stream that prefill on the same engine would delay, and needs little prefill itself. */
   readonly isSensitive: boolean
-  /** Prompt tokens that were to be read there before it. */
+  /** Prompt tokens whose prefill was queued ahead of it when it was sent. */
   readonly aheadTokens: number
   /** Whether the first event has arrived. */
   hasBegun: boolean
-  /** When events last arrived, or the attempt was sent. */
+  /** The time of its latest events; before the first, the time of sending. */
   eventAt: number
 }
 
-/** Prompt tokens of one urgency that are probably not read yet. */
+/** Prompt tokens of one urgency whose prefill is probably not complete. */
 export interface UnreadTokens {
   urgency: number
   tokens: number
 }
 
-/** Work of other entries at an endpoint. */
+/** The load of the other entries at an endpoint. */
 export interface OthersWork {
   readonly unread: readonly UnreadTokens[]
   readonly running: number
-  /** The strains of their streams, added up. */
+  /** The sum of the pause sensitivities of their streams. */
   readonly strain: number
-  /** Their streams that are sensitive to reading. */
+  /** The number of their pause-sensitive streams. */
   readonly sensitive: number
-  /** How many of them could not connect there lately, or met another process at its address. */
+  /** The number of entries that recently failed to connect there, or found another process at its address. */
   readonly unreachable: number
-  /** What they hold of the engine's memory; none from entries that do not tell. */
+  /** The memory that their requests take; undefined if no entry reports it. */
   readonly memory?: MemoryUse | undefined
 }
 
 export const NO_OTHERS: OthersWork = { unread: [], running: 0, strain: 0, sensitive: 0, unreachable: 0 }
 
-/** What is sent to an endpoint. */
+/** A request that is sent to an endpoint. */
 export interface SentPrompt {
   prompt: readonly PromptPart[]
   unreadTokens: number
   urgency: number
+  /** The pause sensitivity of its stream. */
   strain: number
-  /** Whether it is a stream that is sensitive to reading, and reads little itself. */
+  /** Whether it is a stream that prefill on the same engine would delay, and needs little prefill itself. */
   isSensitive: boolean
-  /** How long its answer will probably be. */
+  /** The expected length of its answer, in tokens. */
   outputTokens?: number
 }
 
 export interface EndpointDescription {
   incarnation: string
-  /** Of an endpoint that may start again under its name. */
+  /** The name under which the endpoint can restart, if it can. */
   life?: { name: string } | undefined
   service: string
   address: string
@@ -85,18 +92,19 @@
   slots: number
 }
 
-/** Who is told of changes that a choice among many must not miss. */
+/** Receives the changes that an index of endpoints has to follow. */
 export interface EndpointWatcher {
-  /** It is taken to keep a part of prompts from now on. */
+  /** A prompt part counts as cached at the endpoint from now on. */
   kept: (endpoint: EndpointState, part: string) => void
+  /** A prompt part doesn't count as cached there any more. */
   dropped: (endpoint: EndpointState, part: string) => void
-  /** This entry sends something there. */
+  /** This entry sends a request to the endpoint. */
   began: (endpoint: EndpointState) => void
-  /** It has ended for good. */
+  /** This incarnation of the endpoint has ended. */
   ended: (endpoint: EndpointState) => void
 }
 
-/** What the points on the ring of homes are hashed with, so that they have nothing to do with the rank for reservations. */
+/** A salt that makes the point on the affinity ring independent of the reservation rank. */
 const HOME_SALT = 'home '
 
 const NOTHING: RequestSize = { ownTokens: 0, subject: undefined, sharedTokens: 0 }
@@ -106,30 +114,30 @@
 export class EndpointState {
   readonly prefixes: PrefixMemory
   readonly reading = new ReadingObserver()
-  /** How attempts of all entries ended here. */
+  /** How the attempts of all entries ended at the endpoint. */
   readonly outcomes = new OutcomeObserver()
   readonly works = new Set<Work>()
-  /** What the requests of this entry hold of its memory. */
+  /** The memory that the requests of this entry take at the endpoint. */
   readonly memory = new HeldMemory()
   private readonly sizes = new WeakMap<Work, RequestSize>()
-  /** When any byte last arrived from the endpoint. */
+  /** The time of the latest byte from the endpoint. */
   heardAt = -Infinity
-  /** What the other entries have under way there, as they last told. */
+  /** The load of the other entries there, as last reported. */
   others: OthersWork = NO_OTHERS
-  /** A moving share of failures among finished attempts. */
+  /** The moving average of failures among the finished attempts of this entry. */
   failureShare = 0
-  /** Whether another process has answered at its address: this incarnation has ended for good. */
+  /** Whether another process has answered at its address, which means that this incarnation has ended. */
   hasEnded = false
-  /** Its place among the engines of its service when some of them are reserved; those with a low one come first. */
+  /** Its rank among the engines of its service when some of them are reserved; the lowest ranks are reserved first. */
   readonly reservationRank: number
-  /** Its place on the ring of homes. */
+  /** Its point on the affinity ring. */
   readonly homePoint: number
-  /** How many became known before it. */
+  /** The number of endpoints that became known before it. */
   readonly seniority = created++
   private ejectedUntil = -Infinity
   private ejections = 0
 
-  /** @param memoryTokens how many tokens its memory holds */
+  /** @param memoryTokens capacity of its memory, in tokens */
   constructor (
     public description: EndpointDescription, public memoryTokens = DEFAULT_MEMORY_TOKENS, private readonly watcher?: EndpointWatcher
   ) {
@@ -145,17 +153,17 @@
     return this.works.size
   }
 
-  /** Requests of all entries that run there. */
+  /** The number of requests of all entries that are in flight there. */
   get running (): number {
     return this.works.size + this.others.running
   }
 
-  /** Prompt tokens that any entry has sent and that are probably not read yet. */
+  /** Prompt tokens from all entries whose prefill is probably not complete. */
   get backlogTokens (): number {
     return this.tokensAhead(Infinity)
   }
 
-  /** Those of them that are read before or with a request of some urgency. */
+  /** Returns the tokens of the backlog whose prefill goes before or along with a request of some urgency. */
   tokensAhead (urgency: number): number {
     let tokens = 0
     for (const work of this.works) {
@@ -167,7 +175,7 @@
     return tokens
   }
 
-  /** What this entry has sent and what is probably not read yet. */
+  /** Returns the part of the backlog that this entry has sent. */
   ownUnread (): UnreadTokens[] {
     const byUrgency = new Map<number, number>()
     for (const { hasBegun, urgency, unreadTokens } of this.works) {
@@ -176,36 +184,36 @@
     return [...byUrgency].map(([urgency, tokens]) => ({ urgency, tokens }))
   }
 
-  /** The strains of the streams of this entry that run there, added up. */
+  /** The sum of the pause sensitivities of this entry's streams there. */
   get ownStrain (): number {
     let strain = 0
     for (const work of this.works) strain += work.strain
     return strain
   }
 
-  /** The same of all entries. */
+  /** The sum of the pause sensitivities of all entries' streams there. */
   get strain (): number {
     return this.ownStrain + this.others.strain
   }
 
-  /** The streams of this entry that run there and are sensitive to reading. */
+  /** The number of this entry's pause-sensitive streams there. */
   get ownSensitive (): number {
     let count = 0
     for (const work of this.works) if (work.isSensitive) count += 1
     return count
   }
 
-  /** The same of all entries. */
+  /** The number of all entries' pause-sensitive streams there. */
   get sensitive (): number {
     return this.ownSensitive + this.others.sensitive
   }
 
-  /** The share of its memory that the requests of all entries will hold there. */
+  /** The share of its memory that the requests of all entries will take. */
   get memoryShare (): number {
     return this.memoryShareWith(NOTHING)
   }
 
-  /** The same, with one more. */
+  /** Returns the share of its memory that the requests of all entries will take together with one more. */
   memoryShareWith (size: RequestSize): number {
     if (this.memoryTokens <= 0) return 0
     const others = this.others.memory ?? NO_MEMORY_USE
@@ -213,7 +221,10 @@
     return (this.memory.tokensWith(others) + this.memory.addedBy(size, others, isKept)) / this.memoryTokens
   }
 
-  /** Takes a sample of how much there is to read; samples come at even intervals, or one for several of them. */
+  /**
+   * Samples the prefill backlog.
+   * @param intervals number of regular sampling intervals that the sample stands for
+   */
   sampleReading (now: number, intervals = 1): void {
     this.reading.sample(this.backlogTokens, now, intervals)
   }
@@ -233,12 +244,15 @@
     return work
   }
 
-  /** Notes that any entry has sent parts of prompts there. They can be copied once what waits there before them is read. */
+  /**
+   * Records that any entry has sent prompt parts there. They can be copied once the prefill of the present backlog and their
+   * own are complete.
+   */
   noteKept (parts: readonly PromptPart[], now: number): void {
     this.prefixes.note(parts, now + READ_WITHIN_MS + this.backlogTokens / this.reading.tokensPerMs)
   }
 
-  /** Notes that events of an attempt have arrived. */
+  /** Records that events of an attempt have arrived. */
   noteEvents (work: Work, now: number): void {
     const sinceLast = now - work.eventAt
     if (work.hasBegun) this.reading.notePause(sinceLast, work.eventAt)
@@ -259,12 +273,12 @@
     if (verdict === 'good') this.ejections = 0
   }
 
-  /** Whether the endpoint was unreachable a short while ago. */
+  /** Whether the endpoint is ejected because a connection to it failed recently. */
   isEjected (now: number): boolean {
     return now < this.ejectedUntil
   }
 
-  /** Whether this entry can't reach the endpoint: a connection failed a short while ago, or another process has its address. */
+  /** Whether this entry can't reach the endpoint: a connection failed recently, or another process has its address. */
   isDead (now: number): boolean {
     return this.hasEnded || this.isEjected(now)
   }
@@ -275,7 +289,7 @@
     return unreachable / (unreachable + running + 1)
   }
 
-  /** Whether work waits there and nothing at all arrives. */
+  /** Whether requests are in flight there and no byte has arrived for longer than prefill explains. */
   isSilent (now: number): boolean {
     let oldest = Infinity
     let promptTokens = 0
--- a/routing/balancer/src/engine-census.ts
+++ b/routing/balancer/src/engine-census.ts
@@ -1,6 +1,6 @@
 /**
- * What is added up over the engines of a service. Each engine counts as it was when it was last looked at, so that a large
- * fleet need not be gone through for every decision.
+ * Sums over the engines of a service. An engine counts with the values of its last update, so that a decision needn't visit every
+ * engine of a large fleet.
  */
 import { type EndpointState } from './endpoint-state.ts'
 
@@ -16,14 +16,14 @@
   private readonly counted = new Map<EndpointState, Counted>()
   private readonly sums: Counted = { ...NOTHING }
 
-  /** Counts an engine as it is now, in place of what it was. */
+  /** Replaces the values of an engine by its present ones. */
   count (engine: EndpointState): void {
     const now = { slots: engine.description.slots, pauseMs: engine.reading.pauseMs, sensitive: engine.sensitive }
     this.replace(this.counted.get(engine), now)
     this.counted.set(engine, now)
   }
 
-  /** Leaves out an engine that takes no new work. */
+  /** Removes an engine that accepts no new requests. */
   leaveOut (engine: EndpointState): void {
     this.replace(this.counted.get(engine), NOTHING)
     this.counted.delete(engine)
@@ -37,7 +37,7 @@
     return this.counted.size === 0 ? 0 : this.sums.pauseMs / this.counted.size
   }
 
-  /** Sensitive streams under way at all engines. */
+  /** The number of pause-sensitive streams at all engines. */
   get sensitive (): number {
     return this.sums.sensitive
   }
--- a/routing/balancer/src/home-ring.ts
+++ b/routing/balancer/src/home-ring.ts
@@ -1,25 +1,25 @@
 /**
- * The home of a subject on a large fleet. Today's rendezvous hashes the name of every endpoint; here a subject has a point on
- * a ring, and the rendezvous is among the few endpoints that follow it. Entries agree on it without talking to each other,
- * and losing an endpoint moves hardly more than its own subjects.
+ * The affinity endpoint of a prompt on a large fleet. Plain rendezvous hashing would hash the name of every endpoint. Here a shared
+ * prefix has a point on a hash ring, and rendezvous hashing chooses among the few endpoints that follow the point. Entries agree
+ * without exchanging messages, and the loss of an endpoint moves hardly more prefixes than its own.
  */
 import { type EndpointState } from './endpoint-state.ts'
 import { pairRank, rankOf } from './rendezvous.ts'
 import { type SortedList } from './sorted-list.ts'
 
-/** More make the endpoints' shares of the subjects more even: with so many an endpoint has a quarter more or less. */
+/** The number of endpoints to choose among. More of them spread prefixes more evenly; with 16, shares vary by a quarter. */
 const WINDOW = 16
-/** So many endpoints are passed at most in search of them: few may be allowed. */
-const MAX_LOOKS = 16 * WINDOW
+/** The most endpoints to visit, since only few of them may be allowed. */
+const MAX_VISITED = 16 * WINDOW
 
-/** A place on the ring of one data centre. */
+/** A position on the ring of one data centre. */
 interface Cursor {
   ring: SortedList<EndpointState>
   at: number
   passed: number
 }
 
-/** The home among the endpoints on some rings that are accepted; none if none is near. */
+/** Returns the affinity endpoint among the accepted endpoints on some rings; undefined if none is near the point. */
 export function homeOnRings (
   subject: string, rings: ReadonlyArray<SortedList<EndpointState>>, accepts: (endpoint: EndpointState) => boolean
 ): EndpointState | undefined {
@@ -28,7 +28,7 @@
   let home: EndpointState | undefined
   let highest = -1
   let found = 0
-  for (let look = 0; look < MAX_LOOKS && found < WINDOW; look += 1) {
+  for (let visited = 0; visited < MAX_VISITED && found < WINDOW; visited += 1) {
     const cursor = nearest(cursors, point)
     if (cursor === undefined) break
     const index = cursor.at % cursor.ring.items.length
@@ -45,7 +45,7 @@
   return home
 }
 
-/** The ring whose next endpoint follows the point most closely. */
+/** Returns the ring whose next endpoint follows the point most closely. */
 function nearest (cursors: readonly Cursor[], point: number): Cursor | undefined {
   let first: Cursor | undefined
   let least = Infinity
--- a/routing/balancer/src/keepers.ts
+++ b/routing/balancer/src/keepers.ts
@@ -1,24 +1,21 @@
-/**
- * Who is taken to keep which part of a prompt. Without it each choice would ask every endpoint, which is what a choice among
- * 3,000 spends most of its time on.
- */
+/** The endpoints that have a prompt part cached, by part; a choice among thousands of endpoints would be slow without this index. */
 import { type EndpointState } from './endpoint-state.ts'
 import { type PromptPart } from './prefix-memory.ts'
 
-/** A part that very many keep is looked for at no more than so many of them. */
-const MAX_LOOKS = 64
+/** The most endpoints to check for a part that many have cached. */
+const MAX_CHECKS = 64
 
 export interface KeeperSearch {
   prompt: readonly PromptPart[]
-  /** How many are wanted. */
+  /** The most endpoints to return. */
   most: number
   accepts: (endpoint: EndpointState) => boolean
-  /** From 0 to 1; where the search begins among those that keep the same part. */
+  /** Returns a number from 0 to 1 that sets where the search begins among the endpoints with the same part. */
   random: () => number
 }
 
 export class Keepers {
-  /** Most parts are kept at one place only: those need no list. */
+  /** Most parts are cached by one endpoint only, which needs no list. */
   private readonly byPart = new Map<string, EndpointState | EndpointState[]>()
 
   add (endpoint: EndpointState, part: string): void {
@@ -38,15 +35,15 @@
     if (known.length === 0) this.byPart.delete(part)
   }
 
-  /** Some that keep most of a prompt: those of its deepest part first. */
+  /** Returns endpoints that have a prefix of a prompt cached, those with the longest prefix first. */
   of ({ prompt, most, accepts, random }: KeeperSearch): Set<EndpointState> {
     const found = new Set<EndpointState>()
     for (let depth = prompt.length - 1; depth >= 0 && found.size < most; depth -= 1) {
       const keepers = this.keepersOf(prompt[depth]?.id ?? '')
       const start = Math.floor(random() * keepers.length)
-      const looks = Math.min(keepers.length, MAX_LOOKS)
-      for (let look = 0; look < looks && found.size < most; look += 1) {
-        const endpoint = keepers[(start + look) % keepers.length]
+      const checks = Math.min(keepers.length, MAX_CHECKS)
+      for (let check = 0; check < checks && found.size < most; check += 1) {
+        const endpoint = keepers[(start + check) % keepers.length]
         if (endpoint !== undefined && accepts(endpoint)) found.add(endpoint)
       }
     }
--- a/routing/balancer/src/rendezvous.ts
+++ b/routing/balancer/src/rendezvous.ts
@@ -1,10 +1,10 @@
-/** Rendezvous hashing: entries agree on the home of a subject without talking to each other. */
+/** Rendezvous hashing: entries choose the same affinity endpoint for a prompt without exchanging messages. */
 
-/** FNV-1a over 32 bits: where it starts, and what each character multiplies by. */
+/** The offset basis and the prime of 32-bit FNV-1a. */
 const FNV_OFFSET = 0x811c9dc5
 const FNV_PRIME = 0x01000193
 
-/** Gives the candidate that a subject prefers; losing one candidate moves only its own subjects. */
+/** Returns the candidate with the highest hash for a key. Removing a candidate changes the result only for the keys that it had. */
 export function rendezvousFirst<T> (subject: string, candidates: readonly T[], nameOf: (candidate: T) => string): T | undefined {
   const seed = fnv1a(subject, FNV_OFFSET)
   let first: T | undefined
@@ -18,12 +18,12 @@
   return first
 }
 
-/** A rank of a name that says nothing else of it; entries agree on it. */
+/** Returns a 32-bit hash of a name; it is the same in all entries. */
 export function rankOf (name: string): number {
   return mixed(fnv1a(name, FNV_OFFSET))
 }
 
-/** A rank of a pair of ranks; entries agree on it. */
+/** Returns a 32-bit hash of two hashes; it is the same in all entries. */
 export function pairRank (left: number, right: number): number {
   return mixed(left ^ Math.imul(right, FNV_PRIME))
 }
@@ -34,7 +34,7 @@
   return hash
 }
 
-/** The finalizer of MurmurHash3: names that differ in their last character only get weights that have nothing in common. */
+/** The finalizer of MurmurHash3. Without it, names that differ only in their last characters would have similar hashes. */
 function mixed (hash: number): number {
   let bits = Math.imul(hash ^ (hash >>> 16), 0x85ebca6b)
   bits = Math.imul(bits ^ (bits >>> 13), 0xc2b2ae35)
--- a/routing/balancer/src/sorted-list.ts
+++ b/routing/balancer/src/sorted-list.ts
@@ -1,7 +1,7 @@
-/** A list that stays sorted while items come and go; a change costs one binary search and one move of what lies behind. */
+/** A list that stays sorted. Adding or removing an item takes a binary search and moves the items behind it. */
 export class SortedList<T> {
   private readonly list: T[] = []
-  /** The keys side by side, so that a search does not touch the items. */
+  /** The keys in the order of the items, so that a search doesn't access the items. */
   private readonly listKeys: number[] = []
 
   constructor (private readonly keyOf: (item: T) => number) {}
@@ -28,7 +28,7 @@
     this.listKeys.splice(at, 1)
   }
 
-  /** The index of the first item whose key is at least so high; the length if there is none. */
+  /** Returns the index of the first item whose key is at least `key`; the length of the list if there is none. */
   firstFrom (key: number): number {
     let low = 0
     let high = this.listKeys.length
