--- a/routing/balancer/src/engine-memory.ts
+++ b/routing/balancer/src/engine-memory.ts
@@ -1,53 +1,52 @@
 /**
- * What the requests that run at an engine hold of its memory: their own tokens, read and to come, and the parts that they
- * share with others of their subject, which the engine keeps once. It answers the load at which memory binds before slots:
- * prompts of 9,200 tokens, 6,300 of them shared, fill 267,000 tokens with some 33 requests of 30 subjects. An engine that
- * runs out puts its newest, least urgent request back and reads it anew, which takes 250 ms of all that run there.
+ * The memory that running requests take at an engine: the unshared tokens of each request, prompt and answer, and each shared prefix
+ * once. An engine can run out of memory before it runs out of slots. It then preempts its newest, least urgent request and prefills
+ * it again later, which delays all requests there by 250 ms.
  *
- * How many subjects others have there is told by a sketch of 64 bits, which the words of many entries join without counting
- * a subject twice: what an engine will hold is then foreseen to a tenth, where adding up what each entry tells counts a
- * subject as often as entries have it. What two subjects share with each other counts for each of them.
+ * Entries report the shared prefixes of their requests as a sketch of 64 bits. The sketches of many entries can be combined without
+ * counting a prefix twice, which estimates the memory to within a tenth. Adding up the numbers of the entries would count a prefix
+ * once for each entry that uses it. Parts that two shared prefixes have in common count for both of them.
  */
 import { type PromptPart } from './prefix-memory.ts'
 import { rankOf } from './rendezvous.ts'
 
-/** Bits of the sketch, in two numbers. */
+/** The sketch consists of two 32-bit numbers. */
 const WORD_BITS = 32
 const SKETCH_BITS = 2 * WORD_BITS
-/** From this share of an engine's memory on it is avoided: what others send meanwhile comes on top. */
-const CROWDED_SHARE = 0.7
+/** An engine with a larger share of taken memory is avoided: requests sent by other entries meanwhile are not counted yet. */
+const PENALTY_FROM_SHARE = 0.7
 /**
- * Beyond this share a request is not sent: its engine would keep it waiting or put another back. What is foreseen is off by
- * a tenth either way, and the engine that seems to have most room is the one most underestimated: with 1 in place of 0.9,
- * 0.21 of a replayed load still waited at their engines in place of 0.04, and 0.02 fewer of all were in time; 0.85 refuses more.
+ * A request that would take more than this share of an engine's memory in total is not sent there, since the engine would queue it
+ * or preempt another. The limit is below 1 because the estimate can be a tenth too low, most of all for the engine that seems to have
+ * the most room.
  */
 const FULL_SHARE = 0.9
 
-/** What one request holds at its end. */
+/** The memory that one request takes when its answer is complete. */
 export interface RequestSize {
-  /** Its own part of the prompt, and the answer that is expected. */
+  /** The unshared part of its prompt and the expected answer. */
   ownTokens: number
-  /** Its deepest part that others share; none if it has only one part. */
+  /** The id of its deepest shared prompt part; undefined if the prompt has only one part. */
   subject: string | undefined
-  /** The parts up to and with that one. */
+  /** The tokens of all shared parts. */
   sharedTokens: number
 }
 
-/** What the requests of one entry, or of several, hold at an engine. */
+/** The memory that the requests of one or several entries take at an engine. */
 export interface MemoryUse {
-  /** Own tokens, added up. */
+  /** The sum of the unshared tokens. */
   tokens: number
-  /** The shared parts of each request, added up: each as often as requests share it. */
+  /** The sum of the shared tokens of each request; a prefix counts once for each request that shares it. */
   sharedTokens: number
-  /** Requests that have shared parts. */
+  /** The number of requests with shared parts. */
   sharing: number
-  /** A bit for each of their subjects, by its hash. */
+  /** The sketch of their shared prefixes: one bit for each prefix, chosen by its hash. */
   subjects: readonly [number, number]
 }
 
 export const NO_MEMORY_USE: MemoryUse = { tokens: 0, sharedTokens: 0, sharing: 0, subjects: [0, 0] }
 
-/** What a request will hold. */
+/** Returns the memory that a request will take. */
 export function sizeOf (prompt: readonly PromptPart[], outputTokens: number): RequestSize {
   const shared = prompt.slice(0, -1)
   return {
@@ -57,7 +56,7 @@
   }
 }
 
-/** Adds what some entries hold to what others do. */
+/** Adds the memory of two groups of entries. */
 export function joinUse (left: MemoryUse, right: MemoryUse): MemoryUse {
   return {
     tokens: left.tokens + right.tokens,
@@ -67,16 +66,16 @@
   }
 }
 
-interface HeldSubject {
+interface PrefixUse {
   tokens: number
   requests: number
 }
 
-/** The requests of this entry at one engine. */
+/** The memory that the requests of this entry take at one engine. */
 export class HeldMemory {
-  private readonly subjects = new Map<string, HeldSubject>()
+  private readonly subjects = new Map<string, PrefixUse>()
   private ownTokens = 0
-  /** What is made of the subjects, for as long as they stay the same: a choice asks for it at each engine. */
+  /** The summary of the shared prefixes, cached until they change, since each choice needs it for many engines. */
   private summary: Summary | undefined
 
   add ({ ownTokens, subject, sharedTokens }: RequestSize): void {
@@ -96,7 +95,7 @@
     this.summary = undefined
   }
 
-  /** For the word to others. */
+  /** The summary that is sent to other entries. */
   get use (): MemoryUse {
     const use = { tokens: this.ownTokens, sharedTokens: 0, sharing: 0 }
     for (const { tokens, requests } of this.subjects.values()) {
@@ -106,21 +105,22 @@
     return { ...use, subjects: this.summed.sketch }
   }
 
-  /** The tokens that these and the requests of others hold together. */
+  /** Returns the tokens that these requests and those of other entries take together. */
   tokensWith (others: MemoryUse): number {
     return this.ownTokens + this.summed.tokens + others.tokens + this.sharedOnlyBy(others)
   }
 
   /**
-   * Tokens that a request would add.
-   * @param isKept whether the engine is taken to keep its shared parts: with 30 subjects a bit is another's four times in ten
+   * Returns the tokens that a request would add.
+   * @param isCached whether its shared parts count as cached at the engine. This check is needed besides the sketch: with 30 prefixes
+   * there, a bit of the sketch belongs to another prefix in four of ten cases.
    */
-  addedBy ({ ownTokens, subject, sharedTokens }: RequestSize, others: MemoryUse, isKept: boolean): number {
-    const isThere = subject === undefined || this.subjects.has(subject) || (isKept && hasBit(others.subjects, bitOf(subject)))
-    return ownTokens + (isThere ? 0 : sharedTokens)
+  addedBy ({ ownTokens, subject, sharedTokens }: RequestSize, others: MemoryUse, isCached: boolean): number {
+    const isPresent = subject === undefined || this.subjects.has(subject) || (isCached && hasBit(others.subjects, bitOf(subject)))
+    return ownTokens + (isPresent ? 0 : sharedTokens)
   }
 
-  /** Shared parts of others' subjects that no request of this entry has. */
+  /** Estimates the tokens of other entries' shared prefixes that no request of this entry has. */
   private sharedOnlyBy ({ subjects: [low, high], sharing, sharedTokens }: MemoryUse): number {
     if (sharing === 0) return 0
     const { sketch, count } = this.summed
@@ -134,19 +134,19 @@
   }
 }
 
-/** Some subjects: their tokens, their bits, and their number as the bits give it. */
+/** Shared prefixes: their tokens, their sketch, and their number as estimated from the sketch. */
 interface Summary {
   tokens: number
   sketch: readonly [number, number]
   count: number
 }
 
-function summaryOf (subjects: ReadonlyMap<string, HeldSubject>): Summary {
+function summaryOf (subjects: ReadonlyMap<string, PrefixUse>): Summary {
   let tokens = 0
   let low = 0
   let high = 0
-  for (const [subject, held] of subjects) {
-    tokens += held.tokens
+  for (const [subject, prefix] of subjects) {
+    tokens += prefix.tokens
     const bit = bitOf(subject)
     if (bit < WORD_BITS) low |= 1 << bit
     else high |= 1 << (bit - WORD_BITS)
@@ -155,17 +155,20 @@
   return { tokens, sketch, count: countOf(sketch) }
 }
 
-/** How much an engine is avoided whose memory fills: 0 up to the share from which it is crowded, 1 where it is full. */
+/** Returns the penalty for memory utilisation: 0 up to the share from which an engine is avoided, 1 if it is full. */
 export function memoryCrowding (share: number): number {
-  return Math.min(1, Math.max(0, (share - CROWDED_SHARE) / (FULL_SHARE - CROWDED_SHARE))) ** 2
+  return Math.min(1, Math.max(0, (share - PENALTY_FROM_SHARE) / (FULL_SHARE - PENALTY_FROM_SHARE))) ** 2
 }
 
-/** Whether a request fits into the memory of an engine that would then be filled so far. */
+/** Whether a request fits into an engine's memory; `share` is the memory share that it would lead to. */
 export function fitsMemory (share: number): boolean {
   return share <= FULL_SHARE
 }
 
-/** Why no engine of some memory can ever run a request; undefined if it can. Only what is certain counts: its prompt and one token. */
+/**
+ * Returns the reason why no engine with some memory can ever run a request, or undefined if one can. Only the prompt and one token of
+ * the answer are certain to be needed.
+ */
 export function whyTooLarge (prompt: readonly PromptPart[], memoryTokens: number): string | undefined {
   const tokens = prompt.reduce((sum, part) => sum + part.tokens, 0) + 1
   if (memoryTokens <= 0 || tokens <= memoryTokens) return undefined
@@ -180,7 +183,7 @@
   return ((bit < WORD_BITS ? low >>> bit : high >>> (bit - WORD_BITS)) & 1) === 1
 }
 
-/** How many subjects have probably set the bits of a sketch (linear counting). */
+/** Estimates the number of shared prefixes from the bits of a sketch, by linear counting. */
 function countOf ([low, high]: readonly [number, number]): number {
   const clear = Math.max(1, SKETCH_BITS - bitsIn(low) - bitsIn(high))
   return -SKETCH_BITS * Math.log(clear / SKETCH_BITS)
--- a/routing/balancer/src/outcome-observer.ts
+++ b/routing/balancer/src/outcome-observer.ts
@@ -1,17 +1,17 @@
 /**
- * The share of attempts that an endpoint took and failed. It answers engines that fail a part of their requests while they
- * say that they are well: each of many entries meets such an engine too rarely to know it (28 entries before 36 engines: once
- * in seven seconds), so that entries tell control how their attempts ended and learn the share of all.
+ * Estimates the share of accepted attempts that fail at an endpoint. It detects engines that fail some requests although their health
+ * checks pass. A single entry uses such an engine too rarely to notice (once in seven seconds with 28 entries and 36 engines).
+ * Entries therefore report the outcomes of their attempts to control, and get back the share over all entries.
  */
 
-/** What one attempt counts for: the share follows some 20 attempts, three seconds of an engine that the users' fleets load. */
+/** The weight of one attempt in the share, which covers about the latest 20 attempts. */
 const OUTCOME_WEIGHT = 0.05
-/** Without news the share is halved in this time, in ms: an endpoint that is avoided tells nothing, and may be well again. */
+/** Without new outcomes, the share halves in this time, in ms: an endpoint that is avoided may have recovered. */
 const HALF_LIFE_MS = 5000
-/** Up to this share an endpoint is ordinary: plain services fail some of their calls, and chance moves the share by as much. */
+/** Failures up to this share are ignored: services fail some of their calls, and the estimate varies by chance. */
 const ORDINARY_SHARE = 0.1
 
-/** How attempts ended. */
+/** The number of attempts by outcome. */
 export interface Outcomes {
   good: number
   failed: number
@@ -22,25 +22,25 @@
   private learntAt = -Infinity
   private seen: Outcomes = { good: 0, failed: 0 }
 
-  /** Notes how an own attempt ended; it counts once all have told. */
+  /** Records the outcome of an attempt of this entry. It affects the share only through the reports to control. */
   note (isGood: boolean): void {
     if (isGood) this.seen.good += 1
     else this.seen.failed += 1
   }
 
-  /** Whether something was seen that has not been told. */
+  /** Whether there are outcomes that have not been reported. */
   get hasSeen (): boolean {
     return this.seen.good + this.seen.failed > 0
   }
 
-  /** What was seen since the last call. */
+  /** Returns the outcomes since the last call. */
   takeSeen (): Outcomes {
     const { seen } = this
     this.seen = { good: 0, failed: 0 }
     return seen
   }
 
-  /** Learns from what an entry told. */
+  /** Updates the share from the outcomes that an entry reported. */
   learn ({ good, failed }: Outcomes, now: number): void {
     const attempts = good + failed
     if (attempts === 0) return
@@ -48,18 +48,18 @@
     this.adopt(this.shareAt(now) + weight * (failed / attempts - this.shareAt(now)), now)
   }
 
-  /** Takes the share that was learnt from what all told. */
+  /** Replaces the share by that over all entries. */
   adopt (share: number, now: number): void {
     this.share = share
     this.learntAt = now
   }
 
-  /** The share of attempts that failed lately; 0 where nothing is known. */
+  /** Returns the share of recent attempts that failed; 0 if nothing is known. */
   shareAt (now: number): number {
     return this.share === 0 ? 0 : this.share * 0.5 ** ((now - this.learntAt) / HALF_LIFE_MS)
   }
 
-  /** By how much it is beyond what is ordinary. */
+  /** Returns the part of the share above the ordinary one. */
   excessAt (now: number): number {
     return Math.max(0, this.shareAt(now) - ORDINARY_SHARE)
   }
--- a/routing/balancer/src/output-estimate.ts
+++ b/routing/balancer/src/output-estimate.ts
@@ -1,30 +1,30 @@
 /**
- * How long an answer will probably be. A caller's estimate is right at the median and often far off, so that it is drawn
- * half way to what the route's callers usually estimate; where the caller says nothing the usual counts. The most that the
- * caller takes is a limit in any case: it is many times what most answers have.
+ * Estimates the length of an answer. The estimates of callers are right at the median but often far off. A caller's estimate is
+ * therefore averaged with the usual estimate of its route, and the usual estimate is used if the caller gives none. The maximum length
+ * that a caller gives is only an upper bound, since it is many times the length of most answers.
  */
 
-/** What one request counts for in the usual of its route. */
+/** The weight of one request in the usual estimate of its route. */
 const USUAL_WEIGHT = 0.05
-/** How far an estimate is drawn to the usual, on a logarithmic scale. */
+/** The weight of the usual estimate in the average, which is taken on a logarithmic scale. */
 const USUAL_SHARE = 0.5
 
-/** Of so many routes something is kept; the one that was met first gives way: names come and go with documents. */
+/** The most routes to store, since route names change with documents; the oldest route is removed first. */
 const MAX_ROUTES = 5000
 
-/** What a caller says of the length of its answer. */
+/** What a caller states about the length of its answer. */
 export interface OutputWord {
-  /** The tokens it expects. */
+  /** The number of tokens that it expects. */
   hint?: number | undefined
-  /** The most it takes. */
+  /** The maximum number of tokens that it accepts. */
   most?: number | undefined
 }
 
 export class OutputEstimate {
-  /** The logarithm of what callers of a route usually estimate. */
+  /** The logarithm of the usual estimate of a route's callers. */
   private readonly usual = new Map<string, number>()
 
-  /** Notes a request of a route. */
+  /** Records a request of a route. */
   note (route: string, { hint }: OutputWord): void {
     if (hint === undefined || hint <= 0) return
     const known = this.usual.get(route) ?? Math.log(hint)
@@ -33,7 +33,7 @@
     if (this.usual.size > MAX_ROUTES && oldest !== undefined) this.usual.delete(oldest)
   }
 
-  /** The tokens to expect; none where nothing is known. */
+  /** Returns the expected number of tokens; 0 if nothing is known. */
   of (route: string, { hint, most }: OutputWord): number {
     const usual = this.usual.get(route)
     const limit = most !== undefined && most > 0 ? most : Infinity
--- a/routing/balancer/src/prefix-memory.ts
+++ b/routing/balancer/src/prefix-memory.ts
@@ -1,76 +1,76 @@
 /**
- * Which parts of prompts an endpoint probably keeps, learnt from what the entries
- * have sent there. The endpoint drops the least recently used first; so does this.
+ * Models the prefix cache of an endpoint: which prompt parts it probably has cached, from the prompts that entries have sent there.
+ * Like the endpoint, the model evicts the least recently used parts first.
  */
 
-/** One part of a prompt, in order. */
+/** One of the consecutive parts of a prompt. */
 export interface PromptPart {
   id: string
   tokens: number
 }
 
-interface KeptPart {
+interface CachedPart {
   tokens: number
-  /** When it has probably been read there; before that nobody can copy it. */
-  readAt: number
+  /** When its prefill is probably complete; other endpoints can't copy it before. */
+  completeAt: number
 }
 
-/** Who is told which parts are kept. */
+/** Receives changes of the cached parts. */
 export interface PartWatcher {
   kept: (part: string) => void
   dropped: (part: string) => void
 }
 
 export class PrefixMemory {
-  private readonly parts = new Map<string, KeptPart>()
+  private readonly parts = new Map<string, CachedPart>()
   private tokens = 0
 
-  /** @param capacityTokens how many tokens of parts the endpoint is taken to keep */
+  /** @param capacityTokens assumed capacity of the endpoint's prefix cache, in tokens */
   constructor (private readonly capacityTokens: number, private readonly watcher?: PartWatcher) {}
 
-  /** Whether a part is kept. */
+  /** Whether a part is cached. */
   has (part: string): boolean {
     return this.parts.has(part)
   }
 
-  /** The tokens at the beginning of a prompt that need not be read again. A part is kept only with all before it. */
+  /** Returns the length of the cached prefix of a prompt, in tokens. A part is cached only together with all parts before it. */
   cachedTokens (prompt: readonly PromptPart[]): number {
     return tokensUpTo(prompt, prompt.findLastIndex((part) => this.parts.has(part.id)))
   }
 
-  /** The tokens at the beginning of a prompt that another endpoint can copy from this one. */
+  /** Returns the length of the prefix of a prompt that another endpoint can copy from this one, in tokens. */
   copyableTokens (prompt: readonly PromptPart[], now: number): number {
-    return tokensUpTo(prompt, prompt.findLastIndex(({ id }) => now > (this.parts.get(id)?.readAt ?? Infinity)))
+    return tokensUpTo(prompt, prompt.findLastIndex(({ id }) => now > (this.parts.get(id)?.completeAt ?? Infinity)))
   }
 
   /**
-   * Notes a prompt that was sent to the endpoint.
-   * @param readAt when it has probably been read there; what was noted before was read by then
+   * Records a prompt that was sent to the endpoint.
+   * @param completeAt time at which its prefill is probably complete; a part that is already cached keeps its earlier time
    */
-  note (prompt: readonly PromptPart[], readAt: number): void {
+  note (prompt: readonly PromptPart[], completeAt: number): void {
     for (const { id, tokens } of prompt) {
-      const known = this.takeOut(id)
-      this.parts.set(id, { tokens, readAt: known?.readAt ?? readAt })
+      const known = this.removePart(id)
+      this.parts.set(id, { tokens, completeAt: known?.completeAt ?? completeAt })
       this.tokens += tokens
       if (known === undefined) this.watcher?.kept(id)
     }
     for (const id of this.parts.keys()) {
       if (this.tokens <= this.capacityTokens) return
-      this.drop(id)
+      this.evict(id)
     }
   }
 
-  /** Forgets all parts. */
+  /** Removes all parts. */
   clear (): void {
-    for (const id of this.parts.keys()) this.drop(id)
+    for (const id of this.parts.keys()) this.evict(id)
   }
 
-  private drop (id: string): void {
-    this.takeOut(id)
+  private evict (id: string): void {
+    this.removePart(id)
     this.watcher?.dropped(id)
   }
 
-  private takeOut (id: string): KeptPart | undefined {
+  private removePart (id: string): CachedPart | undefined {
     const part = this.parts.get(id)
     if (part === undefined) return undefined
     this.parts.delete(id)
--- a/routing/balancer/src/reading-observer.ts
+++ b/routing/balancer/src/reading-observer.ts
@@ -1,66 +1,70 @@
 /**
- * What is known of how an engine reads prompts: how fast, for which share of the time, and which pauses the streams there
- * have meanwhile. Engines of one service differ, and a pause while prompts are read is what a stream with a short target
- * does not bear. All of it is learnt from attempts, nothing is reported. An entry learns from its own and tells control what
- * it saw; control learns from all that its entries saw, which is soon enough where an entry meets an engine rarely.
+ * Estimates the prefill of an engine: its speed, the share of time that it takes, and the pauses of streams during it. Engines don't
+ * report these values, and they differ between engines of one service, so they are learnt from attempts. An entry learns from its
+ * own attempts and sends its observations to control. Control learns from the observations of all entries, which is faster if each
+ * entry uses an engine rarely.
  */
 
-/** With so many tokens to read, an engine reads all the time until the next sample: two samples of 60 ms at 36 a ms. */
+/** A backlog that keeps an engine busy with prefill until the next sample: about two intervals of 60 ms at 36 tokens a ms. */
 const BUSY_TOKENS = 4000
-/** What one sample counts for in the share; samples come each 60 ms, so that the share follows 1.5 s. */
+/** The weight of one sample in the share; with a sample each 60 ms, the time constant is 1.5 s. */
 const SHARE_WEIGHT = 0.04
 
-/** What is assumed of an engine that has not been observed: the slowest of the users (36.7 read alone), beside a few streams. */
+/** The assumed prefill speed of an engine without observations: that of a slow engine beside a few streams. */
 const UNKNOWN_TOKENS_PER_MS = 36
-/** A prompt shorter than this tells more of the network than of the engine. */
+/** The time for a shorter prompt depends more on the network than on the engine. */
 const MIN_TIMED_TOKENS = 1500
-/** Shorter times are those of prompts that were kept after all, in ms. */
+/** A shorter time means that the prompt was cached after all, in ms. */
 const MIN_TIMED_MS = 10
+/** The weight of one observation in the speed. */
 const SPEED_WEIGHT = 0.1
-/** One observation moves the speed by no more than to a half or to twice of what it was. */
+/** An observation is clamped to this factor above and below the present speed. */
 const SPEED_STEP = 2
-/** How far from what is assumed of an unknown engine the speed may be learnt, either way. */
+/** The largest factor between the learnt and the assumed speed, in either direction. */
 const SPEED_RANGE = 2
 
-/** What is assumed of an engine that has not been observed, in ms. */
+/** The assumed pause of an engine without observations, in ms. */
 const UNKNOWN_PAUSE_MS = 200
-/** Pauses shorter than this are those of an engine that did not read, in ms. */
+/** A shorter pause means that the engine did no prefill, in ms. */
 const MIN_READING_PAUSE_MS = 20
-/** A longer pause moves the estimate faster than a shorter one: it follows the long ones, about nine in ten lie below. */
+/** A pause above the estimate has the higher weight, so that about nine of ten pauses are shorter than the estimate. */
 const LONGER_PAUSE_WEIGHT = 0.1
 const SHORTER_PAUSE_WEIGHT = 0.01
-/** A pause counts for no more than so many times the estimate: an engine that stands still does not read. */
+/** A pause counts with at most this multiple of the estimate, since a stalled engine does no prefill. */
 const PAUSE_STEP = 2
 
-/** What is kept at most until it is told: more of one engine in so short a time tells nothing new. */
-const MAX_UNTOLD = 16
+/** The most observations of each kind between two reports; more from one engine in that time add no information. */
+const MAX_UNREPORTED = 16
 
-/** How long it took until a prompt had been read. */
+/** The time that the prefill of a prompt took. */
 export interface TimedRead {
-  /** Those of the prompt that had to be read. */
+  /** Tokens of the prompt that needed prefill. */
   tokens: number
-  /** Those of other prompts that went before. */
+  /** Tokens of other prompts whose prefill went first. */
   aheadTokens: number
   tookMs: number
 }
 
-/** What an entry saw since it last told. */
+/** The observations of an entry since its last report. */
 export interface SeenReading {
   pauses: number[]
   reads: TimedRead[]
 }
 
 export class ReadingObserver {
-  /** How fast it reads, with all that runs beside it, in tokens a ms. */
+  /** The prefill speed beside the usual streams, in tokens a ms. */
   tokensPerMs = UNKNOWN_TOKENS_PER_MS
-  /** How long streams there pause while it reads, in ms. */
+  /** The pause between events of a stream during prefill, in ms; about the 90th percentile. */
   pauseMs = UNKNOWN_PAUSE_MS
-  /** The share of the last seconds in which it read, from 0 to 1. */
+  /** The share of the recent seconds that prefill took, from 0 to 1. */
   share = 0
   private busyAt = -Infinity
   private seen: SeenReading = { pauses: [], reads: [] }
 
-  /** Takes a sample of the tokens that wait to be read there; samples come at even intervals, or one for several of them. */
+  /**
+   * Samples the prefill backlog.
+   * @param intervals number of regular sampling intervals that the sample stands for
+   */
   sample (backlogTokens: number, now: number, intervals = 1): void {
     const isReading = Math.min(1, backlogTokens / BUSY_TOKENS)
     if (isReading === 1) this.busyAt = now
@@ -68,46 +72,46 @@
     this.share += weight * (isReading - this.share)
   }
 
-  /** Notes that a prompt has been read, after all that was to be read before it. */
+  /** Records that the prefill of a prompt is complete. */
   noteRead (read: TimedRead): void {
     if (read.tokens < MIN_TIMED_TOKENS || read.tookMs < MIN_TIMED_MS) return
-    if (this.seen.reads.length < MAX_UNTOLD) this.seen.reads.push(read)
+    if (this.seen.reads.length < MAX_UNREPORTED) this.seen.reads.push(read)
     this.learnRead(read)
   }
 
-  /** Learns from a prompt that was long enough to tell something. */
+  /** Updates the speed from the prefill of a prompt that is long enough. */
   learnRead ({ tokens, aheadTokens, tookMs }: TimedRead): void {
     const seen = clamp((tokens + aheadTokens) / tookMs, this.tokensPerMs / SPEED_STEP, this.tokensPerMs * SPEED_STEP)
     const learnt = this.tokensPerMs + SPEED_WEIGHT * (seen - this.tokensPerMs)
     this.tokensPerMs = clamp(learnt, UNKNOWN_TOKENS_PER_MS / SPEED_RANGE, UNKNOWN_TOKENS_PER_MS * SPEED_RANGE)
   }
 
-  /** Notes the time between two events of a stream there; it counts if the engine read in between. */
+  /** Records the time between two events of a stream; it counts if the engine was busy with prefill in between. */
   notePause (pauseMs: number, startedAt: number): void {
     if (this.busyAt < startedAt || pauseMs < MIN_READING_PAUSE_MS) return
-    if (this.seen.pauses.length < MAX_UNTOLD) this.seen.pauses.push(Math.round(pauseMs))
+    if (this.seen.pauses.length < MAX_UNREPORTED) this.seen.pauses.push(Math.round(pauseMs))
     this.learnPause(pauseMs)
   }
 
-  /** Learns from a pause in which the engine read. */
+  /** Updates the pause estimate from a pause during prefill. */
   learnPause (pauseMs: number): void {
     const seen = Math.min(pauseMs, PAUSE_STEP * this.pauseMs)
     const weight = seen > this.pauseMs ? LONGER_PAUSE_WEIGHT : SHORTER_PAUSE_WEIGHT
     this.pauseMs += weight * (seen - this.pauseMs)
   }
 
-  /** Takes what was learnt from the observations of many. */
+  /** Replaces the estimates by those from the observations of all entries. */
   adopt ({ tokensPerMs, pauseMs }: Pick<ReadingObserver, 'tokensPerMs' | 'pauseMs'>): void {
     this.tokensPerMs = tokensPerMs
     this.pauseMs = pauseMs
   }
 
-  /** Whether something was seen that has not been told. */
+  /** Whether there are observations that have not been reported. */
   get hasSeen (): boolean {
     return this.seen.pauses.length + this.seen.reads.length > 0
   }
 
-  /** What was seen since the last call; undefined if nothing. */
+  /** Returns the observations since the last call; undefined if there are none. */
   takeSeen (): SeenReading | undefined {
     const { seen } = this
     if (!this.hasSeen) return undefined
@@ -116,6 +120,6 @@
   }
 }
 
-function clamp (value: number, least: number, most: number): number {
-  return Math.min(most, Math.max(least, value))
+function clamp (value: number, lowest: number, highest: number): number {
+  return Math.min(highest, Math.max(lowest, value))
 }
--- a/routing/balancer/src/reserved-engines.ts
+++ b/routing/balancer/src/reserved-engines.ts
@@ -1,100 +1,100 @@
 /**
- * Engines that are kept free of long reads. While an engine reads prompts, each token of its streams takes as long as one
- * step of reading, so that streams which bear short pauses only are late wherever much is read, and hold their slots several
- * times as long. They fit on few engines of their own. How many follows from how many such streams run; which ones follows
- * from the names of the engines, so that entries agree without talking to each other.
+ * Engines that are reserved for pause-sensitive streams. During prefill, each token of a stream takes as long as one prefill step.
+ * Streams with a short limit for pauses are then late, and occupy their slots several times as long. A few engines with little
+ * prefill can serve all of them. The number of reserved engines follows from the number of such streams, and the selection from the
+ * names of the engines, so that entries agree without exchanging messages.
  */
 import { WEIGH_ALL_UP_TO } from './candidate-set.ts'
 import { type EndpointPool } from './endpoint-pool.ts'
 import { type EndpointState } from './endpoint-state.ts'
 import { strainOf } from './strain.ts'
 
-/** Streams that suffer this much from reading are sensitive: the pauses of engines that read come near to two thirds of what they bear. */
+/** Streams above this pause sensitivity get reserved engines: the pauses during prefill exceed about two thirds of their limit. */
 const SENSITIVE_STRAIN = 0.25
-/** Requests that usually bring more tokens of their own than this are long reads themselves: more than one step of an engine. */
-const SHORT_READ_TOKENS = 2048
-/** What one request counts for in what its route usually brings. */
+/** Routes whose requests usually have more unshared tokens cause long prefill themselves: more than one engine step. */
+const SHORT_PREFILL_TOKENS = 2048
+/** The weight of one request in the moving average of its route's unshared tokens. */
 const OWN_TOKENS_WEIGHT = 0.05
-/** The share of the slots of reserved engines that sensitive streams are to take; the rest is for bursts. */
-const FILL = 0.5
-/** No more than this share of the engines is reserved. */
+/** The share of the slots of reserved engines that pause-sensitive streams should take; the rest is for bursts. */
+const TARGET_FILL = 0.5
+/** The largest share of the engines that is reserved. */
 const MAX_SHARE = 0.5
-/** A region reserves another engine from this share of one on. */
-const ROUNDED = 0.5
-/** With fewer engines none is reserved. */
+/** A region reserves another engine if its remaining quota is at least this fraction of one. */
+const MIN_QUOTA = 0.5
+/** With fewer engines, none is reserved. */
 const MIN_ENGINES = 3
-/** How fast the number of reserved engines falls once fewer sensitive streams run, as a share of the difference at each update. */
-const FALL_WEIGHT = 0.02
+/** The share of the difference by which the number of streams falls at each update once fewer of them run. */
+const DECREASE_WEIGHT = 0.02
 
-const NONE: ReadonlySet<EndpointState> = new Set()
+const NO_ENGINES: ReadonlySet<EndpointState> = new Set()
 
-/** What must be known of a request's route. */
+/** The properties of a route that decide whether its requests are pause-sensitive. */
 export interface StreamKind {
   route: string
-  /** The longest pause between events that it bears, in ms; none where the route sets none. */
+  /** The longest acceptable pause between events, in ms; undefined if the route sets no limit. */
   pauseMs: number | undefined
 }
 
-/** What the number of reserved engines follows from. */
+/** The values that the number of reserved engines is computed from. */
 interface Engines {
   size: number
   meanSlots: number
-  /** Sensitive streams under way at all of them. */
+  /** The number of pause-sensitive streams at all of them. */
   sensitive: number
 }
 
 /** Where engines may be reserved. */
 export interface ReservationOptions {
-  /** Whether a data centre may have work. */
+  /** Whether requests may be sent to a data centre. */
   mayGoTo?: (dataCentre: string) => boolean
-  /** The region of a data centre; each region reserves engines for its own streams, which stay there. */
+  /** Returns the region of a data centre. Each region reserves engines for its own streams. */
   regionOf?: (dataCentre: string) => string
 }
 
-type LargeReservation = Required<ReservationOptions> & { count: number }
+type FleetReservation = Required<ReservationOptions> & { count: number }
 
-/** What was reserved of a large fleet, and for what. */
-interface KnownReservation {
+/** The reserved engines of a large fleet, with the values that they were computed from. */
+interface CachedReservation {
   version: number
   count: number
   places: string
   engines: ReadonlySet<EndpointState>
 }
 
-/** What a document has, by name. */
+/** The names of the routes and services in a document. */
 export interface DocumentNames {
   routes: ReadonlySet<string>
   services: ReadonlySet<string>
 }
 
 export class ReservedEngines {
-  /** The prompt tokens that requests of a route usually bring besides the shared parts. */
+  /** The moving average of the unshared prompt tokens of a route's requests. */
   private readonly ownTokens = new Map<string, number>()
   private readonly byService = new Map<string, ReadonlySet<EndpointState>>()
-  /** Sensitive streams under way by region and service; follows rises at once and falls slowly. */
+  /** The number of pause-sensitive streams by region and service; it follows rises at once and falls slowly. */
   private readonly sensitive = new Map<string, number>()
-  /** What was reserved of large fleets, for as long as nothing changes. */
-  private readonly firsts = new Map<string, KnownReservation>()
-  /** The usual pause of streams while engines read, in ms. */
+  /** The reserved engines of large fleets, cached until a value that they depend on changes. */
+  private readonly cachedReservations = new Map<string, CachedReservation>()
+  /** The mean pause of streams during prefill by service, in ms. */
   private readonly pauses = new Map<string, number>()
 
-  /** Notes a request of a route. */
+  /** Records a request of a route. */
   noteRequest ({ route }: Pick<StreamKind, 'route'>, ownTokens: number): void {
     const known = this.ownTokens.get(route) ?? ownTokens
     this.ownTokens.set(route, known + OWN_TOKENS_WEIGHT * (ownTokens - known))
   }
 
-  /** Of how many routes something is kept. */
+  /** The number of routes with a recorded average. */
   get knownRoutes (): number {
     return this.ownTokens.size
   }
 
-  /** Forgets the routes and services that a document no longer has, so that what is kept is bounded by the document in force. */
+  /** Removes the routes and services that a document no longer has, so that the document in force bounds the memory use. */
   keepOnly (names: DocumentNames): void {
     for (const route of this.ownTokens.keys()) {
       if (!names.routes.has(route)) this.ownTokens.delete(route)
     }
-    for (const known of [this.byService, this.firsts, this.pauses]) {
+    for (const known of [this.byService, this.cachedReservations, this.pauses]) {
       for (const service of known.keys()) {
         if (!names.services.has(service)) known.delete(service)
       }
@@ -104,21 +104,21 @@
     }
   }
 
-  /** Whether requests of a route are sensitive to reading and read little themselves. */
+  /** Whether requests of a route are delayed by prefill on the same engine, and need little prefill themselves. */
   isSensitive ({ route, pauseMs }: StreamKind, service: string): boolean {
     const readingPauseMs = this.pauses.get(service)
     if (pauseMs === undefined || readingPauseMs === undefined) return false
-    return strainOf(pauseMs, readingPauseMs) > SENSITIVE_STRAIN && (this.ownTokens.get(route) ?? Infinity) <= SHORT_READ_TOKENS
+    return strainOf(pauseMs, readingPauseMs) > SENSITIVE_STRAIN && (this.ownTokens.get(route) ?? Infinity) <= SHORT_PREFILL_TOKENS
   }
 
-  /** The engines of a service that are reserved for sensitive streams now. */
+  /** Returns the engines of a service that are reserved for pause-sensitive streams now. */
   of (service: string): ReadonlySet<EndpointState> {
-    return this.byService.get(service) ?? NONE
+    return this.byService.get(service) ?? NO_ENGINES
   }
 
   /**
-   * Reserves as many engines of a service as its sensitive streams need now; called at even intervals.
-   * @param regionOf the region of a data centre; each region reserves engines for its own streams, which stay there
+   * Reserves as many engines of a service as its pause-sensitive streams need now; called at regular intervals.
+   * @param regionOf function that returns the region of a data centre; each region reserves engines for its own streams
    */
   update (service: string, engines: readonly EndpointState[], regionOf: (dataCentre: string) => string = () => ''): void {
     const groups = new Map<string, EndpointState[]>()
@@ -136,8 +136,9 @@
   }
 
   /**
-   * The same for the engines of a service in the data centres that may have work. A large fleet is not gone through: sums are
-   * kept, each region reserves in proportion to its engines, and the set is made anew only where it changes.
+   * Does the same for the engines of a service in the data centres that requests may be sent to. For a large fleet it uses sums
+   * instead of visiting every engine, each region reserves in proportion to its engines, and the set is computed again only if it
+   * changes.
    */
   updateFrom (service: string, pool: EndpointPool, { mayGoTo = () => true, regionOf = () => '' }: ReservationOptions = {}): void {
     if (pool.size <= WEIGH_ALL_UP_TO) {
@@ -151,31 +152,31 @@
       return
     }
     this.pauses.set(service, meanPauseMs)
-    this.byService.set(service, this.firstOf(service, pool, { count, mayGoTo, regionOf }))
+    this.byService.set(service, this.reservedInPool(service, pool, { count, mayGoTo, regionOf }))
   }
 
-  private firstOf (service: string, pool: EndpointPool, { count, mayGoTo, regionOf }: LargeReservation): ReadonlySet<EndpointState> {
+  private reservedInPool (service: string, pool: EndpointPool, { count, mayGoTo, regionOf }: FleetReservation): ReadonlySet<EndpointState> {
     const places = [...pool.places].map(({ dataCentre }) => dataCentre).filter(mayGoTo).join(' ')
-    const known = this.firsts.get(service)
+    const known = this.cachedReservations.get(service)
     if (known?.version === pool.version && known.count === count && known.places === places) return known.engines
-    const left = new Map<string, number>()
+    const quotas = new Map<string, number>()
     for (const { dataCentre, members } of pool.places) {
       const region = regionOf(dataCentre)
-      left.set(region, (left.get(region) ?? 0) + count * members.items.length / pool.size)
+      quotas.set(region, (quotas.get(region) ?? 0) + count * members.items.length / pool.size)
     }
     const engines = new Set<EndpointState>()
     for (const engine of pool.byRank.items) {
       const region = regionOf(engine.description.dataCentre)
-      const quota = left.get(region) ?? 0
-      if (quota < ROUNDED || !mayGoTo(engine.description.dataCentre)) continue
-      left.set(region, quota - 1)
+      const quota = quotas.get(region) ?? 0
+      if (quota < MIN_QUOTA || !mayGoTo(engine.description.dataCentre)) continue
+      quotas.set(region, quota - 1)
       engines.add(engine)
     }
-    this.firsts.set(service, { version: pool.version, count, places, engines })
+    this.cachedReservations.set(service, { version: pool.version, count, places, engines })
     return engines
   }
 
-  /** The engines of one region to reserve; undefined where it has too few. */
+  /** Returns the engines of one region to reserve; undefined if the region has too few. */
   private reservedAmong (engines: readonly EndpointState[], key: string): EndpointState[] | undefined {
     const count = this.countFor(key, {
       size: engines.length,
@@ -185,13 +186,13 @@
     return count === undefined ? undefined : byRank(engines).slice(0, count)
   }
 
-  /** How many engines to reserve for what runs now; undefined where there are too few, or nobody says how much they take. */
+  /** Returns the number of engines to reserve; undefined if there are too few, or none reports its slots. */
   private countFor (key: string, { size, meanSlots, sensitive }: Engines): number | undefined {
     if (size < MIN_ENGINES || meanSlots <= 0) return undefined
     const known = this.sensitive.get(key) ?? 0
-    const smoothed = sensitive > known ? sensitive : known + FALL_WEIGHT * (sensitive - known)
+    const smoothed = sensitive > known ? sensitive : known + DECREASE_WEIGHT * (sensitive - known)
     this.sensitive.set(key, smoothed)
-    return Math.min(Math.floor(MAX_SHARE * size), Math.ceil(Math.floor(smoothed) / (FILL * meanSlots)))
+    return Math.min(Math.floor(MAX_SHARE * size), Math.ceil(Math.floor(smoothed) / (TARGET_FILL * meanSlots)))
   }
 }
 
--- a/routing/balancer/src/retry-budget.ts
+++ b/routing/balancer/src/retry-budget.ts
@@ -1,28 +1,29 @@
 /**
- * Bounds how many sends may be repeats: a share of the requests in a sliding
- * window, and a slack that the entries of the deployment divide among themselves.
+ * Limits the number of retries to a share of the requests in a sliding window, plus a constant that is divided among the entries
+ * of the deployment.
  */
 
+/** The sliding window consists of this many buckets. */
 const BUCKETS = 10
 
 export interface RetryBudgetOptions {
-  /** Repeats allowed for each request. */
+  /** Retries allowed for each request. */
   ratio: number
   windowMs: number
-  /** Repeats allowed beyond the ratio, over all entries together. */
+  /** Retries allowed in each window beyond the ratio, by all entries together. */
   slack: number
-  /** How many entries share the slack. */
+  /** Returns the number of entries that share the slack. */
   entries: () => number
   now?: () => number
 }
 
-/** What is kept free, since entries come and go and the count of them is late. */
-const SAFETY = 0.6
+/** The share of the budget that is used. The rest is a margin, because the number of entries is known with a delay. */
+const USABLE_SHARE = 0.6
 
 interface Bucket {
   slot: number
   requests: number
-  repeats: number
+  retries: number
 }
 
 export class RetryBudget {
@@ -37,20 +38,20 @@
     this.bucket().requests += 1
   }
 
-  /** Takes one repeat from the budget; false if there is none left. */
+  /** Takes one retry from the budget; returns false if none is left. */
   take (): boolean {
     if (this.left < 1) return false
-    this.bucket().repeats += 1
+    this.bucket().retries += 1
     return true
   }
 
-  /** How many repeats may still be sent now. */
+  /** The number of retries that may still be sent now. */
   get left (): number {
     this.bucket()
     const requests = sum(this.buckets, (bucket) => bucket.requests)
-    const repeats = sum(this.buckets, (bucket) => bucket.repeats)
+    const retries = sum(this.buckets, (bucket) => bucket.retries)
     const { ratio, slack, entries } = this.options
-    return SAFETY * (ratio * requests + slack / Math.max(1, entries())) - repeats
+    return USABLE_SHARE * (ratio * requests + slack / Math.max(1, entries())) - retries
   }
 
   private bucket (): Bucket {
@@ -58,7 +59,7 @@
     while (this.buckets[0] !== undefined && this.buckets[0].slot <= slot - BUCKETS) this.buckets.shift()
     const last = this.buckets.at(-1)
     if (last?.slot === slot) return last
-    const fresh = { slot, requests: 0, repeats: 0 }
+    const fresh = { slot, requests: 0, retries: 0 }
     this.buckets.push(fresh)
     return fresh
   }
