--- a/routing/balancer/test/candidate-set.test.ts
+++ b/routing/balancer/test/candidate-set.test.ts
@@ -105,7 +105,7 @@
       const lost = fleet.endpoints.filter(() => fleet.random() < 0.2)
       for (const endpoint of lost) fleet.index.setUsable(endpoint, false)
       const isCold = new Set(fleet.endpoints.filter(() => fleet.random() < 0.5))
-      const rules = { mayGoTo: (dataCentre: string) => dataCentre !== 'dc1', accepts: (endpoint: Candidate['endpoint']) => !isCold.has(endpoint) }
+      const rules: Partial<Choosable> = { mayGoTo: (dataCentre: string) => dataCentre !== 'dc1', accepts: (endpoint: Candidate['endpoint']) => !isCold.has(endpoint) }
       const { endpoints, homes = [], sources } = candidateSet(demand, fleet.choosable(rules))
       expect(endpoints.length).toBeGreaterThan(0)
       for (const endpoint of [...endpoints, ...sources, ...homes]) {
--- a/routing/balancer/test/choose.test.ts
+++ b/routing/balancer/test/choose.test.ts
@@ -145,7 +145,7 @@
     const all = endpoints(2)
     at(all, 0).prefixes.note(prompt.slice(0, 1), 0)
     busyWith(at(all, 0), 18_000)
-    const hurried = { ...demand, targetMs: 500, sources: all }
+    const hurried: Demand = { ...demand, targetMs: 500, sources: all }
     expect(choose(hurried, all, LATER)?.endpoint).toBe(at(all, 1))
     expect(choose(hurried, all, LATER, { ...DEFAULT_WEIGHTS, late: 0 })?.endpoint).toBe(at(all, 0))
   })
--- a/routing/balancer/test/reserved-engines.test.ts
+++ b/routing/balancer/test/reserved-engines.test.ts
@@ -1,10 +1,10 @@
 import { describe, expect, it } from 'vitest'
-import { choose, EndpointState, ReservedEngines, type Demand } from '@gullwall/routing.balancer'
+import { choose, EndpointState, ReservedEngines, type Demand, type StreamKind } from '@gullwall/routing.balancer'
 
 const SERVICE = 'lm'
 const LATER = 10_000
-const SHORT = { route: 'short', pauseMs: 300 }
-const LONG = { route: 'long', pauseMs: 1200 }
+const SHORT: StreamKind = { route: 'short', pauseMs: 300 }
+const LONG: StreamKind = { route: 'long', pauseMs: 1200 }
 
 function engines (count: number): EndpointState[] {
   return Array.from({ length: count }, (_, index) => new EndpointState({
@@ -99,7 +99,7 @@
       reserved
     }
     expect(choose(demand, all, LATER)?.endpoint).toBe(all[0])
-    const other = { ...demand, isSensitive: false, pauseMs: 1200 }
+    const other: Demand = { ...demand, isSensitive: false, pauseMs: 1200 }
     expect(choose(other, all, LATER)?.endpoint).not.toBe(all[0])
     for (const engine of all.slice(1)) {
       engine.begin({ prompt: [], unreadTokens: 200_000, urgency: 0, strain: 0, isSensitive: false }, LATER)
