--- a/routing/balancer/src/candidate-set.ts
+++ b/routing/balancer/src/candidate-set.ts
@@ -1,7 +1,7 @@
 /**
  * Selects the endpoints that are scored for one request: all endpoints of a small fleet. Scoring all of a large fleet takes too long
  * (31 ms for 12,000 endpoints). There, only some endpoints with the prompt cached, the affinity endpoint and a random sample of the
- * others are scored, half of the sample from the own data centre. The best of 16 random endpoints is in the top tenth with a
+ * others are scored, half of the sample from the entry's data centre. The best of 16 random endpoints is in the top tenth with a
  * probability of 0.81, and the remaining difference in cost is smaller than the prefill of a prompt.
  */
 import { mayHave, subjectOf, type Demand } from './choose.ts'
@@ -15,7 +15,7 @@
 export const WEIGH_ALL_UP_TO = 96
 /** The number of endpoints with the longest cached prefix to score; the load decides between them. */
 const PREFIX_HOLDERS = 8
-/** The sample size from the own data centre. */
+/** The sample size from the entry's data centre. */
 const LOCAL_SAMPLE = 8
 /** The sample size from all data centres. */
 const GLOBAL_SAMPLE = 8
--- a/routing/balancer/src/choose.ts
+++ b/routing/balancer/src/choose.ts
@@ -39,7 +39,7 @@
    * has just started doesn't know what was sent before.
    */
   trustsHome: boolean
-  /** Whether the request is a stream that prefill on the same engine would delay, and needs little prefill itself. */
+  /** Whether the request is a stream that prefill on the same engine would delay and that needs little prefill itself. */
   isSensitive: boolean
   /** The memory that the request will take at an engine; if undefined, the choice assumes that it fits. */
   size?: RequestSize | undefined
@@ -113,7 +113,7 @@
 
 /** From this multiple of the target, the estimated probability of a late first event rises from 0. */
 const LATE_FROM_TARGETS = 0.6
-/** At this multiple of the target, it reaches 1. Predictions are too short when many entries send at the same time. */
+/** At this multiple of the target, that probability reaches 1. Predictions are too short when many entries send at the same time. */
 const LATE_AT_TARGETS = 1.2
 /** Streams with a lower pause sensitivity are not co-located: prefill hardly delays them. */
 const STRAINED = 0.3
@@ -137,7 +137,7 @@
   urgency: number
   /** Prompt tokens that the endpoint copies from `source`, without prefill. */
   copiedTokens: number
-  /** Another endpoint that has more of the prompt cached; undefined if no copy is worth it. */
+  /** Another endpoint that has more of the prompt cached; undefined if none has enough more for a copy. */
   source: EndpointState | undefined
   /** The predicted time to the first event, in ms: its prefill and that of queued requests that are at least as urgent. */
   waitMs: number
@@ -231,7 +231,7 @@
   return Math.min(1, Math.max(0, (waitMs / targetMs - LATE_FROM_TARGETS) / (LATE_AT_TARGETS - LATE_FROM_TARGETS)))
 }
 
-/** Estimates how many streams of pause sensitivity 1 are delayed by the prefill of some tokens and of the backlog. */
+/** Estimates the sum of the pause sensitivities of the streams that the prefill of some tokens and of the backlog delays. */
 function spoiltStreams ({ strain, reading, backlogTokens }: EndpointState, unreadTokens: number): number {
   const readMs = (backlogTokens + unreadTokens) / reading.tokensPerMs
   return strain * spoiltShare(readMs) * Math.min(1, unreadTokens / HARMLESS_TOKENS)
@@ -276,7 +276,7 @@
   return endpoint.isEjected(now) || endpoint.isSilent(now)
 }
 
-/** Returns the cost of an endpoint, without prefill, copies and the wait for the backlog. */
+/** Returns the part of the cost that depends neither on the tokens to prefill or to copy nor on the backlog. */
 function loadCost (endpoint: EndpointState, demand: Demand, now: number, weights: ChoiceWeights): number {
   const distance = distanceCost(demand, endpoint, weights.otherDataCentre)
   const failures = endpoint.failureShare * weights.failures + endpoint.unreachableShare * weights.unreachable +
@@ -287,7 +287,7 @@
     reservationCost(endpoint, demand, weights) + distance + failures + suspicion
 }
 
-/** Returns the endpoints for rendezvous hashing: reserved engines for pause-sensitive streams, the others for all else. */
+/** Returns the endpoints for rendezvous hashing: reserved engines for pause-sensitive streams, the others otherwise. */
 function homesFor ({ isSensitive, reserved }: Demand, endpoints: readonly EndpointState[]): readonly EndpointState[] {
   if (reserved.size === 0) return endpoints
   const homes = endpoints.filter((endpoint) => reserved.has(endpoint) === isSensitive)
--- a/routing/balancer/src/distance.ts
+++ b/routing/balancer/src/distance.ts
@@ -20,7 +20,7 @@
   region: string
   /** The part of the cost that is due to the other region, in ms. */
   costMs: number
-  /** The lowest cost in the own region; undefined if no endpoint there can accept the request. */
+  /** The lowest cost in the request's own region; undefined if no endpoint there can accept the request. */
   stayCost: number | undefined
 }
 
--- a/routing/balancer/src/endpoint-state.ts
+++ b/routing/balancer/src/endpoint-state.ts
@@ -6,8 +6,8 @@
 import { rankOf } from './rendezvous.ts'
 
 /**
- * What the end of an attempt shows about the endpoint. `ended`: another process answered at its address, so that this incarnation
- * has ended. `neutral`: nothing.
+ * What the end of an attempt shows about the endpoint. The verdict `ended` means that another process answered at its address, so
+ * that this incarnation has ended. The verdict `neutral` means that the end shows nothing about the endpoint.
  */
 export type AttemptVerdict = 'good' | 'failed' | 'shed' | 'unreachable' | 'ended' | 'neutral'
 
@@ -37,7 +37,7 @@
   readonly promptTokens: number
   /** The pause sensitivity of its stream; 0 if it is no stream or has no limit for pauses. */
   readonly strain: number
-  /** Whether it is a stream that prefill on the same engine would delay, and needs little prefill itself. */
+  /** Whether it is a stream that prefill on the same engine would delay and that needs little prefill itself. */
   readonly isSensitive: boolean
   /** Prompt tokens whose prefill was queued ahead of it when it was sent. */
   readonly aheadTokens: number
@@ -76,7 +76,7 @@
   urgency: number
   /** The pause sensitivity of its stream. */
   strain: number
-  /** Whether it is a stream that prefill on the same engine would delay, and needs little prefill itself. */
+  /** Whether it is a stream that prefill on the same engine would delay and that needs little prefill itself. */
   isSensitive: boolean
   /** The expected length of its answer, in tokens. */
   outputTokens?: number
@@ -92,7 +92,7 @@
   slots: number
 }
 
-/** Receives the changes that an index of endpoints has to follow. */
+/** Receives the changes of an endpoint that an index of endpoints has to follow. */
 export interface EndpointWatcher {
   /** A prompt part counts as cached at the endpoint from now on. */
   kept: (endpoint: EndpointState, part: string) => void
@@ -122,7 +122,7 @@
   private readonly sizes = new WeakMap<Work, RequestSize>()
   /** The time of the latest byte from the endpoint. */
   heardAt = -Infinity
-  /** The load of the other entries there, as last reported. */
+  /** The load of the other entries at the endpoint, as last reported. */
   others: OthersWork = NO_OTHERS
   /** The moving average of failures among the finished attempts of this entry. */
   failureShare = 0
@@ -153,7 +153,7 @@
     return this.works.size
   }
 
-  /** The number of requests of all entries that are in flight there. */
+  /** The number of requests in flight from all entries. */
   get running (): number {
     return this.works.size + this.others.running
   }
@@ -184,26 +184,26 @@
     return [...byUrgency].map(([urgency, tokens]) => ({ urgency, tokens }))
   }
 
-  /** The sum of the pause sensitivities of this entry's streams there. */
+  /** The sum of the pause sensitivities of this entry's streams at the endpoint. */
   get ownStrain (): number {
     let strain = 0
     for (const work of this.works) strain += work.strain
     return strain
   }
 
-  /** The sum of the pause sensitivities of all entries' streams there. */
+  /** The sum of the pause sensitivities of all entries' streams at the endpoint. */
   get strain (): number {
     return this.ownStrain + this.others.strain
   }
 
-  /** The number of this entry's pause-sensitive streams there. */
+  /** The number of this entry's pause-sensitive streams at the endpoint. */
   get ownSensitive (): number {
     let count = 0
     for (const work of this.works) if (work.isSensitive) count += 1
     return count
   }
 
-  /** The number of all entries' pause-sensitive streams there. */
+  /** The number of all entries' pause-sensitive streams at the endpoint. */
   get sensitive (): number {
     return this.ownSensitive + this.others.sensitive
   }
@@ -245,8 +245,8 @@
   }
 
   /**
-   * Records that any entry has sent prompt parts there. They can be copied once the prefill of the present backlog and their
-   * own are complete.
+   * Records that an entry has sent prompt parts to the endpoint. Other endpoints can copy the parts once the prefill of the present
+   * backlog and of the parts is complete.
    */
   noteKept (parts: readonly PromptPart[], now: number): void {
     this.prefixes.note(parts, now + READ_WITHIN_MS + this.backlogTokens / this.reading.tokensPerMs)
@@ -289,7 +289,7 @@
     return unreachable / (unreachable + running + 1)
   }
 
-  /** Whether requests are in flight there and no byte has arrived for longer than prefill explains. */
+  /** Whether requests are in flight and no byte has arrived for longer than their prefill can take. */
   isSilent (now: number): boolean {
     let oldest = Infinity
     let promptTokens = 0
