--- a/routing/balancer/src/home-ring.ts
+++ b/routing/balancer/src/affinity-ring.ts
@@ -4,7 +4,7 @@
  * without exchanging messages, and the loss of an endpoint moves hardly more prefixes than its own.
  */
 import { type EndpointState } from './endpoint-state.ts'
-import { pairRank, rankOf } from './rendezvous.ts'
+import { hashPair, hashName } from './rendezvous.ts'
 import { type SortedList } from './sorted-list.ts'
 
 /** The number of endpoints to choose among. More of them spread prefixes more evenly; with 16, shares vary by a quarter. */
@@ -20,11 +20,11 @@
 }
 
 /** Returns the affinity endpoint among the accepted endpoints on some rings; undefined if none is near the point. */
-export function homeOnRings (
+export function findAffinityEndpoint (
   subject: string, rings: ReadonlyArray<SortedList<EndpointState>>, accepts: (endpoint: EndpointState) => boolean
 ): EndpointState | undefined {
-  const point = rankOf(subject)
-  const cursors = rings.map((ring): Cursor => ({ ring, at: ring.firstFrom(point), passed: 0 }))
+  const point = hashName(subject)
+  const cursors = rings.map((ring): Cursor => ({ ring, at: ring.lowerBound(point), passed: 0 }))
   let home: EndpointState | undefined
   let highest = -1
   let found = 0
@@ -37,7 +37,7 @@
     cursor.passed += 1
     if (endpoint === undefined || !accepts(endpoint)) continue
     found += 1
-    const rank = pairRank(point, cursor.ring.keys[index] ?? 0)
+    const rank = hashPair(point, cursor.ring.keys[index] ?? 0)
     if (rank <= highest) continue
     highest = rank
     home = endpoint
--- a/routing/balancer/src/candidate-set.ts
+++ b/routing/balancer/src/candidate-set.ts
@@ -4,15 +4,15 @@
  * others are scored, half of the sample from the entry's data centre. The best of 16 random endpoints is in the top tenth with a
  * probability of 0.81, and the remaining difference in cost is smaller than the prefill of a prompt.
  */
-import { mayHave, subjectOf, type Demand } from './choose.ts'
-import { type EndpointPool, type PlacePool } from './endpoint-pool.ts'
+import { canAccept, sharedPrefixIdOf, type ChoiceRequest } from './choose.ts'
+import { type EndpointPool, type DataCentrePool } from './endpoint-pool.ts'
 import { type EndpointState } from './endpoint-state.ts'
-import { homeOnRings } from './home-ring.ts'
-import { type Keepers } from './keepers.ts'
+import { findAffinityEndpoint } from './affinity-ring.ts'
+import { type PrefixHolders } from './prefix-holders.ts'
 import { SortedList } from './sorted-list.ts'
 
 /** A fleet of at most this many endpoints is scored completely; that takes 0.15 ms for 96. */
-export const WEIGH_ALL_UP_TO = 96
+export const SCORE_ALL_LIMIT = 96
 /** The number of endpoints with the longest cached prefix to score; the load decides between them. */
 const PREFIX_HOLDERS = 8
 /** The sample size from the entry's data centre. */
@@ -25,13 +25,13 @@
 const FALLBACK_DRAWS = 256
 
 /** The endpoints that a request can choose from, and the rules that exclude some of them. */
-export interface Choosable {
+export interface CandidateScope {
   pool: EndpointPool
-  keepers: Keepers
+  prefixHolders: PrefixHolders
   /** Whether the request may be sent to a data centre; called once for each data centre. */
-  mayGoTo: (dataCentre: string) => boolean
+  isDataCentreAllowed: (dataCentre: string) => boolean
   /** Whether the request may be sent to an endpoint. */
-  accepts: (endpoint: EndpointState) => boolean
+  isAllowed: (endpoint: EndpointState) => boolean
   /** Returns a random number from 0 to 1. */
   random: () => number
 }
@@ -39,95 +39,95 @@
 export interface CandidateSet {
   endpoints: readonly EndpointState[]
   /** The affinity endpoint of the prompt in each region; undefined if all endpoints are scored. */
-  homes: readonly EndpointState[] | undefined
+  affinityEndpoints: readonly EndpointState[] | undefined
   /** Endpoints from which parts of the prompt can be copied. */
-  sources: readonly EndpointState[]
+  copySources: readonly EndpointState[]
 }
 
 /** Returns the endpoints to score for a request. */
-export function candidateSet (demand: Demand, choosable: Choosable): CandidateSet {
-  const places = [...choosable.pool.places].filter(({ dataCentre }) => choosable.mayGoTo(dataCentre))
+export function selectCandidates (demand: ChoiceRequest, choosable: CandidateScope): CandidateSet {
+  const places = [...choosable.pool.dataCentrePools].filter(({ dataCentre }) => choosable.isDataCentreAllowed(dataCentre))
   const count = places.reduce((sum, { members }) => sum + members.items.length, 0)
-  return count <= WEIGH_ALL_UP_TO ? allCandidates(choosable, places) : sampledCandidates(demand, choosable, places)
+  return count <= SCORE_ALL_LIMIT ? allCandidates(choosable, places) : sampledCandidates(demand, choosable, places)
 }
 
-function allCandidates ({ pool, accepts }: Choosable, places: readonly PlacePool[]): CandidateSet {
+function allCandidates ({ pool, isAllowed }: CandidateScope, places: readonly DataCentrePool[]): CandidateSet {
   const allowed = new Set(places.map(({ dataCentre }) => dataCentre))
-  const isWhole = allowed.size === [...pool.places].length
+  const isWhole = allowed.size === [...pool.dataCentrePools].length
   const members = isWhole ? pool.members.items : bySeniority(places)
-  const endpoints = members.filter(accepts)
-  return { endpoints, homes: undefined, sources: endpoints }
+  const endpoints = members.filter(isAllowed)
+  return { endpoints, affinityEndpoints: undefined, copySources: endpoints }
 }
 
-function bySeniority (places: readonly PlacePool[]): EndpointState[] {
-  return places.flatMap(({ members }) => members.items).sort((left, right) => left.seniority - right.seniority)
+function bySeniority (places: readonly DataCentrePool[]): EndpointState[] {
+  return places.flatMap(({ members }) => members.items).sort((left, right) => left.registrationOrder - right.registrationOrder)
 }
 
-function sampledCandidates (demand: Demand, choosable: Choosable, places: readonly PlacePool[]): CandidateSet {
-  const { pool, keepers, random } = choosable
-  const accepts = (endpoint: EndpointState) => isInPools(pool, places, endpoint) && choosable.accepts(endpoint)
-  const sources = [...keepers.of({ prompt: demand.prompt, most: PREFIX_HOLDERS, accepts, random })]
+function sampledCandidates (demand: ChoiceRequest, choosable: CandidateScope, places: readonly DataCentrePool[]): CandidateSet {
+  const { pool, prefixHolders, random } = choosable
+  const accepts = (endpoint: EndpointState) => isInPools(pool, places, endpoint) && choosable.isAllowed(endpoint)
+  const sources = [...prefixHolders.find({ prompt: demand.prompt, limit: PREFIX_HOLDERS, accepts, random })]
   const homes = groupPoolsByRegion(demand, places).flatMap((group) => homeOf(demand, choosable, group) ?? [])
-  const found = new Set([...sources, ...homes].filter((endpoint) => mayHave(demand, endpoint)))
+  const found = new Set([...sources, ...homes].filter((endpoint) => canAccept(demand, endpoint)))
   new Sampler(demand, choosable, found).sampleAll(places)
-  return { endpoints: [...found], homes, sources }
+  return { endpoints: [...found], affinityEndpoints: homes, copySources: sources }
 }
 
 /** Groups data centre pools by region; there is one group if the deployment has one region. */
-function groupPoolsByRegion ({ crossing }: Demand, places: readonly PlacePool[]): PlacePool[][] {
-  const groups = new Map<string, PlacePool[]>()
+function groupPoolsByRegion ({ regions }: ChoiceRequest, places: readonly DataCentrePool[]): DataCentrePool[][] {
+  const groups = new Map<string, DataCentrePool[]>()
   for (const place of places) {
-    const region = crossing?.regionOf(place.dataCentre) ?? ''
+    const region = regions?.regionOf(place.dataCentre) ?? ''
     groups.set(region, [...groups.get(region) ?? [], place])
   }
   return [...groups.values()]
 }
 
 /** Returns the affinity endpoint: a reserved engine for a pause-sensitive stream, another engine for any other request. */
-function homeOf (demand: Demand, { pool, accepts }: Choosable, places: readonly PlacePool[]): EndpointState | undefined {
-  const subject = subjectOf(demand.prompt)
+function homeOf (demand: ChoiceRequest, { pool, isAllowed }: CandidateScope, places: readonly DataCentrePool[]): EndpointState | undefined {
+  const subject = sharedPrefixIdOf(demand.prompt)
   if (subject === undefined) return undefined
-  const { isSensitive, reserved } = demand
-  const rings = places.map(({ ring }) => ring)
-  if (reserved.size === 0) return homeOnRings(subject, rings, accepts)
-  const fits = (endpoint: EndpointState) => reserved.has(endpoint) === isSensitive && accepts(endpoint)
-  if (!isSensitive || reserved.size > WEIGH_ALL_UP_TO) return homeOnRings(subject, rings, fits)
+  const { isPauseSensitive, reserved } = demand
+  const rings = places.map(({ affinityRing }) => affinityRing)
+  if (reserved.size === 0) return findAffinityEndpoint(subject, rings, isAllowed)
+  const fits = (endpoint: EndpointState) => reserved.has(endpoint) === isPauseSensitive && isAllowed(endpoint)
+  if (!isPauseSensitive || reserved.size > SCORE_ALL_LIMIT) return findAffinityEndpoint(subject, rings, fits)
   // A few reserved engines among many endpoints would rarely be near the point on the common ring.
-  const ring = new SortedList<EndpointState>((endpoint) => endpoint.homePoint)
+  const ring = new SortedList<EndpointState>((endpoint) => endpoint.affinityPoint)
   for (const endpoint of reserved) if (isInPools(pool, places, endpoint)) ring.add(endpoint)
-  return homeOnRings(subject, [ring], accepts)
+  return findAffinityEndpoint(subject, [ring], isAllowed)
 }
 
 /** Whether an endpoint is in one of some data centre pools. A removed endpoint may still be reserved or listed as prefix holder. */
-function isInPools (pool: EndpointPool, places: readonly PlacePool[], endpoint: EndpointState): boolean {
-  const place = pool.placeOf(endpoint)
+function isInPools (pool: EndpointPool, places: readonly DataCentrePool[], endpoint: EndpointState): boolean {
+  const place = pool.dataCentrePoolOf(endpoint)
   return place !== undefined && places.includes(place)
 }
 
 /** Adds random endpoints that can accept a request to the candidates. */
 class Sampler {
   constructor (
-    private readonly demand: Demand, private readonly choosable: Choosable, private readonly found: Set<EndpointState>
+    private readonly demand: ChoiceRequest, private readonly choosable: CandidateScope, private readonly found: Set<EndpointState>
   ) {}
 
-  sampleAll (places: readonly PlacePool[]): void {
-    const { demand: { dataCentre, isSensitive, reserved }, choosable: { pool }, found } = this
+  sampleAll (places: readonly DataCentrePool[]): void {
+    const { demand: { dataCentre, isPauseSensitive, reserved }, choosable: { pool }, found } = this
     const local = places.find((place) => place.dataCentre === dataCentre)
     if (local !== undefined) this.sample(local.members.items, local.members.items.length, LOCAL_SAMPLE)
-    if (isSensitive && reserved.size > 0) this.sample(pool.byRank.items, reserved.size, LOCAL_SAMPLE, places)
+    if (isPauseSensitive && reserved.size > 0) this.sample(pool.byReservationRank.items, reserved.size, LOCAL_SAMPLE, places)
     for (const { members: { items } } of places) this.sample(items, items.length, this.shareOf(items.length, places))
     if (found.size === 0) for (const { members: { items } } of places) this.sample(items, items.length, 1, places, FALLBACK_DRAWS)
   }
 
   /** Returns the sample size for a data centre with some number of endpoints, in proportion to all; it is rounded at random. */
-  private shareOf (members: number, places: readonly PlacePool[]): number {
+  private shareOf (members: number, places: readonly DataCentrePool[]): number {
     const all = places.reduce((sum, place) => sum + place.members.items.length, 0)
     return Math.floor(GLOBAL_SAMPLE * members / all + this.choosable.random())
   }
 
   /** Adds up to `count` of the first `among` endpoints of a list. */
   private sample (
-    list: readonly EndpointState[], among: number, count: number, within?: readonly PlacePool[], draws = DRAWS_PER_ENDPOINT * count
+    list: readonly EndpointState[], among: number, count: number, within?: readonly DataCentrePool[], draws = DRAWS_PER_ENDPOINT * count
   ): void {
     let missing = count
     for (let draw = 0; draw < draws && missing > 0; draw += 1) {
@@ -140,6 +140,6 @@
   }
 
   private isSelectable (endpoint: EndpointState): boolean {
-    return !this.found.has(endpoint) && mayHave(this.demand, endpoint) && this.choosable.accepts(endpoint)
+    return !this.found.has(endpoint) && canAccept(this.demand, endpoint) && this.choosable.isAllowed(endpoint)
   }
 }
--- a/routing/balancer/src/choose.ts
+++ b/routing/balancer/src/choose.ts
@@ -1,46 +1,46 @@
 /** Chooses an endpoint: each candidate gets a cost in ms, and the candidate with the lowest cost is chosen. */
-import { distanceCost, isWithinReach, leavingOf, perRegion, reservesNear, type Crossing, type Leaving } from './distance.ts'
-import { fitsMemory, memoryCrowding, type RequestSize } from './engine-memory.ts'
+import { distanceCostMs, hasLinkCapacity, crossRegionChoiceOf, findPerRegion, hasReservedInRegion, type RegionContext, type CrossRegionChoice } from './cross-region.ts'
+import { fitsMemory, memoryUtilisationPenalty, type RequestSize } from './engine-memory.ts'
 import { type EndpointState } from './endpoint-state.ts'
-import { type PromptPart } from './prefix-memory.ts'
-import { rendezvousFirst } from './rendezvous.ts'
-import { spoiltShare, strainOf } from './strain.ts'
+import { type PromptPart } from './prefix-cache-model.ts'
+import { selectByRendezvous } from './rendezvous.ts'
+import { delayedStreamShare, pauseSensitivityOf } from './pause-sensitivity.ts'
 import { urgencyOf } from './urgency.ts'
 
 /** The properties of a request that the choice depends on. */
-export interface Demand {
+export interface ChoiceRequest {
   /** The parts of the prompt in order; empty if the request has no prompt. */
   prompt: readonly PromptPart[]
   dataCentre: string
   /** The regions and the cost of a cross-region request; undefined if the deployment has one region only. */
-  crossing?: Crossing
+  regions?: RegionContext
   tier: number
   /** Whether the caller has already received a part of its stream. */
   isResumed: boolean
   /** Whether the endpoints are engines. An engine without a free slot preempts a request to run a more urgent one. */
   needsSlot: boolean
   /** Whether the request may not be retried after a failed attempt. */
-  isOnce?: boolean
+  isSingleAttempt?: boolean
   /** The target for the time to the first event, in ms; 0 if there is none. */
   targetMs: number
   /** The longest acceptable pause between events, in ms; undefined if the route sets no limit. */
-  pauseMs: number | undefined
+  maxPauseMs: number | undefined
   /** The incarnations of the endpoints to which this request was already sent. */
   excluded: ReadonlySet<string>
   /** Endpoints from which other endpoints can copy cached prompt parts. */
-  sources: readonly EndpointState[]
+  copySources: readonly EndpointState[]
   /**
    * The affinity endpoint of the prompt in each region, if only some endpoints of the service are scored. If undefined, the
    * affinity endpoints are computed from the scored endpoints.
    */
-  homes?: readonly EndpointState[] | undefined
+  affinityEndpoints?: readonly EndpointState[] | undefined
   /**
    * Whether the affinity endpoint is assumed to have the shared prefix cached although no entry has reported it. An entry that
    * has just started doesn't know what was sent before.
    */
-  trustsHome: boolean
+  isAffinityTrusted: boolean
   /** Whether the request is a stream that prefill on the same engine would delay and that needs little prefill itself. */
-  isSensitive: boolean
+  isPauseSensitive: boolean
   /** The memory that the request will take at an engine; if undefined, the choice assumes that it fits. */
   size?: RequestSize | undefined
   /** Engines that are reserved for pause-sensitive streams. */
@@ -50,27 +50,27 @@
 /** The weights of the cost terms: factors where the name ends in `Weight`, otherwise costs in ms. */
 export interface ChoiceWeights {
   /** The factor for prefill time; above 1, because repeated prefill of a shared prefix takes capacity from all requests. */
-  readWeight: number
+  prefillWeight: number
   /** The factor for copied tokens, relative to the time that their prefill would take. */
   copyWeight: number
   /** For an endpoint that is not the affinity endpoint of the prompt and has no part of it cached. */
-  notHome: number
+  notAffinity: number
   /** For a first event after its target; multiplied by the estimated probability of that. */
-  late: number
+  lateFirstEvent: number
   /** For each request in flight at the endpoint. */
-  perRunning: number
+  perRunningRequest: number
   /** For a stream of pause sensitivity 1 that the prefill of this prompt delays. */
-  spoiltStream: number
+  delayedStream: number
   /** For a stream of pause sensitivity 1 at an engine that is always busy with prefill. */
-  streamBesideReads: number
+  streamBesidePrefill: number
   /** The reduction for a pause-sensitive stream, per unit of pause sensitivity at the engine: such streams share engines. */
-  streamBesideStreams: number
+  streamColocation: number
   /** For a pause-sensitive stream at an engine that is not reserved. */
   notReserved: number
   /** For any other request at a reserved engine. */
   reserved: number
   /** For an engine with no free slot. */
-  full: number
+  fullSlots: number
   /** For an engine with no free memory; equal to the cost of the prefill of 9,000 tokens. */
   fullMemory: number
   /** For an endpoint in another data centre of the same region. */
@@ -81,34 +81,34 @@
    * For a request that may not be retried, at an endpoint with a failure share of 1. An engine that fails half of its requests
    * must cost more than an engine that is not reserved (1,000).
    */
-  failuresOnce: number
+  failuresSingleAttempt: number
   /**
    * For an endpoint that no other entry can connect to. More than twice the cost of the prefill of 13,000 tokens elsewhere
    * (4,400 ms), so that requests don't stay at an unreachable affinity endpoint.
    */
   unreachable: number
   /** For an endpoint that is silent or ejected; higher than any other cost. */
-  suspect: number
+  unhealthy: number
 }
 
 export const DEFAULT_WEIGHTS: ChoiceWeights = {
-  readWeight: 12,
+  prefillWeight: 12,
   copyWeight: 2,
-  notHome: 200,
-  late: 1500,
-  perRunning: 2,
-  spoiltStream: 300,
-  streamBesideReads: 2000,
-  streamBesideStreams: 12,
+  notAffinity: 200,
+  lateFirstEvent: 1500,
+  perRunningRequest: 2,
+  delayedStream: 300,
+  streamBesidePrefill: 2000,
+  streamColocation: 12,
   notReserved: 1000,
   reserved: 3000,
-  full: 3000,
+  fullSlots: 3000,
   fullMemory: 3000,
   otherDataCentre: 20,
   failures: 400,
-  failuresOnce: 4000,
+  failuresSingleAttempt: 4000,
   unreachable: 10_000,
-  suspect: 100_000
+  unhealthy: 100_000
 }
 
 /** From this multiple of the target, the estimated probability of a late first event rises from 0. */
@@ -142,9 +142,9 @@
   /** The predicted time to the first event, in ms: its prefill and that of queued requests that are at least as urgent. */
   waitMs: number
   /** Whether this is the affinity endpoint of the prompt in its region. */
-  isHome: boolean
+  isAffinityEndpoint: boolean
   /** Why the request goes to another region; undefined if it stays in its own. */
-  leaving?: Leaving
+  crossRegion?: CrossRegionChoice
 }
 
 /** How many tokens of a prompt an endpoint has cached. */
@@ -155,42 +155,46 @@
 
 /** Chooses the endpoint with the lowest cost; undefined if no endpoint can accept the request. */
 export function choose (
-  demand: Demand, endpoints: readonly EndpointState[], now: number, weights = DEFAULT_WEIGHTS
+  demand: ChoiceRequest, endpoints: readonly EndpointState[], now: number, weights = DEFAULT_WEIGHTS
 ): Candidate | undefined {
-  const candidates = weigh(demand, endpoints, now, weights)
+  const candidates = scoreEndpoints(demand, endpoints, now, weights)
   const chosen = candidates.reduce<Candidate | undefined>((best, candidate) => (
     best === undefined || candidate.cost < best.cost ? candidate : best
   ), undefined)
-  return chosen === undefined ? undefined : { ...chosen, leaving: leavingOf(demand, chosen, candidates) }
+  return chosen === undefined ? undefined : { ...chosen, crossRegion: crossRegionChoiceOf(demand, chosen, candidates) }
 }
 
 /** Returns the cost of every endpoint that can accept the request. */
-export function weigh (demand: Demand, endpoints: readonly EndpointState[], now: number, weights = DEFAULT_WEIGHTS): Candidate[] {
-  const { prompt, sources, trustsHome } = demand
-  const homeNear = perRegion(demand, demand.homes ?? endpoints, (group) => demand.homes === undefined ? homeFor(demand, group) : group[0])
-  const holdings = endpoints.map((endpoint) => ({ endpoint, tokens: endpoint.prefixes.cachedTokens(prompt) }))
-  const sourceNear = perRegion(demand, sources, (group) => bestSource(prompt, group, now))
-  const shared = sharedTokens(prompt)
+export function scoreEndpoints (
+  demand: ChoiceRequest, endpoints: readonly EndpointState[], now: number, weights = DEFAULT_WEIGHTS
+): Candidate[] {
+  const { prompt, copySources, isAffinityTrusted } = demand
+  const homeNear = findPerRegion(demand, demand.affinityEndpoints ?? endpoints, (group) => (
+    demand.affinityEndpoints === undefined ? affinityEndpointFor(demand, group) : group[0]
+  ))
+  const holdings = endpoints.map((endpoint) => ({ endpoint, tokens: endpoint.prefixCache.cachedTokens(prompt) }))
+  const sourceNear = findPerRegion(demand, copySources, (group) => bestSource(prompt, group, now))
+  const shared = sharedPrefixTokens(prompt)
   const total = tokensOf(prompt)
-  return holdings.filter(({ endpoint }) => mayHave(demand, endpoint)).map(({ endpoint, tokens }): Candidate => {
+  return holdings.filter(({ endpoint }) => canAccept(demand, endpoint)).map(({ endpoint, tokens }): Candidate => {
     const isHome = endpoint === homeNear(endpoint)
     const best = sourceNear(endpoint)
-    const kept = Math.max(tokens, isHome && trustsHome ? shared : 0)
+    const kept = Math.max(tokens, isHome && isAffinityTrusted ? shared : 0)
     const source = best !== undefined && best.endpoint !== endpoint && best.tokens >= tokens + MIN_COPY_TOKENS ? best : undefined
     const copiedTokens = Math.max(0, (source?.tokens ?? 0) - kept)
     const unreadTokens = total - kept - copiedTokens
     const toRead = unreadTokens + pendingTokens(endpoint, demand, now)
     const urgency = urgencyOf({ tier: demand.tier, unreadTokens: toRead, isResumed: demand.isResumed })
-    const { tokensPerMs } = endpoint.reading
+    const { tokensPerMs } = endpoint.prefill
     const aheadMs = endpoint.tokensAhead(urgency) / tokensPerMs
     const waitMs = unreadTokens / tokensPerMs + aheadMs
-    const cost = weights.readWeight * unreadTokens / tokensPerMs +
+    const cost = weights.prefillWeight * unreadTokens / tokensPerMs +
       weights.copyWeight * copiedTokens / tokensPerMs +
-      (isHome || tokens > 0 ? 0 : weights.notHome) +
-      aheadMs + weights.late * lateShare(waitMs, demand.targetMs) +
-      weights.spoiltStream * spoiltStreams(endpoint, unreadTokens) +
+      (isHome || tokens > 0 ? 0 : weights.notAffinity) +
+      aheadMs + weights.lateFirstEvent * lateShare(waitMs, demand.targetMs) +
+      weights.delayedStream * spoiltStreams(endpoint, unreadTokens) +
       loadCost(endpoint, demand, now, weights)
-    return { endpoint, isHome, unreadTokens, urgency, copiedTokens, source: source?.endpoint, waitMs, cost }
+    return { endpoint, isAffinityEndpoint: isHome, unreadTokens, urgency, copiedTokens, source: source?.endpoint, waitMs, cost }
   })
 }
 
@@ -198,25 +202,25 @@
  * Returns the prompt tokens whose prefill is still pending at an endpoint for an earlier request. A request that overtakes the
  * earlier one would repeat that prefill.
  */
-function pendingTokens ({ prefixes }: EndpointState, { prompt }: Demand, now: number): number {
-  return prefixes.cachedTokens(prompt) - prefixes.copyableTokens(prompt, now)
+function pendingTokens ({ prefixCache }: EndpointState, { prompt }: ChoiceRequest, now: number): number {
+  return prefixCache.cachedTokens(prompt) - prefixCache.copyableTokens(prompt, now)
 }
 
 /**
  * Whether an endpoint can accept the request: the request wasn't sent there before, the link to its region has capacity, and
  * an engine has a slot and memory for it. Requests of tier 0 and resumed streams go first, and need neither slot nor memory.
  */
-export function mayHave (demand: Demand, endpoint: EndpointState): boolean {
+export function canAccept (demand: ChoiceRequest, endpoint: EndpointState): boolean {
   const { excluded, needsSlot, tier, isResumed, size } = demand
-  if (!isWithinReach(demand, endpoint)) return false
+  if (!hasLinkCapacity(demand, endpoint)) return false
   if (excluded.has(endpoint.description.incarnation)) return false
   const goesFirst = tier === 0 || isResumed
   if (!needsSlot || goesFirst) return true
-  return hasSlot(endpoint) && (size === undefined || fitsMemory(endpoint.memoryShareWith(size)))
+  return hasFreeSlot(endpoint) && (size === undefined || fitsMemory(endpoint.memoryShareWith(size)))
 }
 
 /** Whether an engine has a free slot for a request that doesn't go first. */
-export function hasSlot (endpoint: EndpointState): boolean {
+export function hasFreeSlot (endpoint: EndpointState): boolean {
   return takenSlots(endpoint) < USABLE_SLOTS
 }
 
@@ -232,18 +236,18 @@
 }
 
 /** Estimates the sum of the pause sensitivities of the streams that the prefill of some tokens and of the backlog delays. */
-function spoiltStreams ({ strain, reading, backlogTokens }: EndpointState, unreadTokens: number): number {
-  const readMs = (backlogTokens + unreadTokens) / reading.tokensPerMs
-  return strain * spoiltShare(readMs) * Math.min(1, unreadTokens / HARMLESS_TOKENS)
+function spoiltStreams ({ pauseSensitivity, prefill, backlogTokens }: EndpointState, unreadTokens: number): number {
+  const readMs = (backlogTokens + unreadTokens) / prefill.tokensPerMs
+  return pauseSensitivity * delayedStreamShare(readMs) * Math.min(1, unreadTokens / HARMLESS_TOKENS)
 }
 
 /** Returns the id of the deepest prompt part that other requests share; that of the only part if there is just one. */
-export function subjectOf (prompt: readonly PromptPart[]): string | undefined {
+export function sharedPrefixIdOf (prompt: readonly PromptPart[]): string | undefined {
   return (prompt.at(-2) ?? prompt.at(-1))?.id
 }
 
 /** Returns the number of tokens in the shared prefix of a prompt: all parts but the last. */
-export function sharedTokens (prompt: readonly PromptPart[]): number {
+export function sharedPrefixTokens (prompt: readonly PromptPart[]): number {
   return tokensOf(prompt.slice(0, -1))
 }
 
@@ -252,21 +256,21 @@
 }
 
 /** Returns the affinity endpoint of a prompt. */
-export function homeFor (demand: Demand, endpoints: readonly EndpointState[]): EndpointState | undefined {
+export function affinityEndpointFor (demand: ChoiceRequest, endpoints: readonly EndpointState[]): EndpointState | undefined {
   return homeOf(demand.prompt, homesFor(demand, endpoints))
 }
 
 function homeOf (prompt: readonly PromptPart[], endpoints: readonly EndpointState[]): EndpointState | undefined {
-  const subject = subjectOf(prompt)
-  return subject === undefined ? undefined : rendezvousFirst(subject, endpoints, (endpoint) => endpoint.description.incarnation)
+  const subject = sharedPrefixIdOf(prompt)
+  return subject === undefined ? undefined : selectByRendezvous(subject, endpoints, (endpoint) => endpoint.description.incarnation)
 }
 
 /** Returns the healthy endpoint from which the longest prefix of the prompt can be copied. */
 function bestSource (prompt: readonly PromptPart[], endpoints: readonly EndpointState[], now: number): Holding | undefined {
   let best: Holding | undefined
   for (const endpoint of endpoints) {
-    const tokens = endpoint.prefixes.copyableTokens(prompt, now)
-    const answers = !isSuspect(endpoint, now) && endpoint.others.unreachable === 0
+    const tokens = endpoint.prefixCache.copyableTokens(prompt, now)
+    const answers = !isSuspect(endpoint, now) && endpoint.othersLoad.unreachable === 0
     if (answers && tokens > (best?.tokens ?? 0)) best = { endpoint, tokens }
   }
   return best
@@ -277,46 +281,48 @@
 }
 
 /** Returns the part of the cost that depends neither on the tokens to prefill or to copy nor on the backlog. */
-function loadCost (endpoint: EndpointState, demand: Demand, now: number, weights: ChoiceWeights): number {
-  const distance = distanceCost(demand, endpoint, weights.otherDataCentre)
+function loadCost (endpoint: EndpointState, demand: ChoiceRequest, now: number, weights: ChoiceWeights): number {
+  const distance = distanceCostMs(demand, endpoint, weights.otherDataCentre)
   const failures = endpoint.failureShare * weights.failures + endpoint.unreachableShare * weights.unreachable +
-    (demand.isOnce === true ? weights.failuresOnce * endpoint.outcomes.excessAt(now) : 0)
-  const suspicion = isSuspect(endpoint, now) ? weights.suspect : 0
-  return weights.perRunning * endpoint.running + streamCost(endpoint, demand, weights) + crowdingCost(endpoint, weights) +
+    (demand.isSingleAttempt === true ? weights.failuresSingleAttempt * endpoint.outcomes.excessFailureShareAt(now) : 0)
+  const suspicion = isSuspect(endpoint, now) ? weights.unhealthy : 0
+  return weights.perRunningRequest * endpoint.running + streamCost(endpoint, demand, weights) + crowdingCost(endpoint, weights) +
     memoryCost(endpoint, demand, weights) +
     reservationCost(endpoint, demand, weights) + distance + failures + suspicion
 }
 
 /** Returns the endpoints for rendezvous hashing: reserved engines for pause-sensitive streams, the others otherwise. */
-function homesFor ({ isSensitive, reserved }: Demand, endpoints: readonly EndpointState[]): readonly EndpointState[] {
+function homesFor ({ isPauseSensitive, reserved }: ChoiceRequest, endpoints: readonly EndpointState[]): readonly EndpointState[] {
   if (reserved.size === 0) return endpoints
-  const homes = endpoints.filter((endpoint) => reserved.has(endpoint) === isSensitive)
+  const homes = endpoints.filter((endpoint) => reserved.has(endpoint) === isPauseSensitive)
   return homes.length > 0 ? homes : endpoints
 }
 
-function reservationCost (endpoint: EndpointState, demand: Demand, weights: ChoiceWeights): number {
-  const { isSensitive, reserved } = demand
-  if (reserved.size === 0 || reserved.has(endpoint) === isSensitive || !reservesNear(demand, endpoint)) return 0
-  return isSensitive ? weights.notReserved : weights.reserved
+function reservationCost (endpoint: EndpointState, demand: ChoiceRequest, weights: ChoiceWeights): number {
+  const { isPauseSensitive, reserved } = demand
+  if (reserved.size === 0 || reserved.has(endpoint) === isPauseSensitive || !hasReservedInRegion(demand, endpoint)) return 0
+  return isPauseSensitive ? weights.notReserved : weights.reserved
 }
 
 /**
  * For pause-sensitive streams, engines with little prefill and with other such streams cost less: the remaining engines are
  * then free for prefill.
  */
-function streamCost ({ reading, strain: strainThere }: EndpointState, { pauseMs }: Demand, weights: ChoiceWeights): number {
-  const strain = strainOf(pauseMs, reading.pauseMs)
-  const company = strain > STRAINED ? weights.streamBesideStreams * strainThere : 0
-  return weights.streamBesideReads * strain * reading.share - company
+function streamCost (
+  { prefill, pauseSensitivity: strainThere }: EndpointState, { maxPauseMs }: ChoiceRequest, weights: ChoiceWeights
+): number {
+  const strain = pauseSensitivityOf(maxPauseMs, prefill.pauseMs)
+  const company = strain > STRAINED ? weights.streamColocation * strainThere : 0
+  return weights.streamBesidePrefill * strain * prefill.busyShare - company
 }
 
 /** Rises with the square of the memory utilisation that the request would cause. */
-function memoryCost (endpoint: EndpointState, { needsSlot, size }: Demand, weights: ChoiceWeights): number {
-  return needsSlot && size !== undefined ? weights.fullMemory * memoryCrowding(endpoint.memoryShareWith(size)) : 0
+function memoryCost (endpoint: EndpointState, { needsSlot, size }: ChoiceRequest, weights: ChoiceWeights): number {
+  return needsSlot && size !== undefined ? weights.fullMemory * memoryUtilisationPenalty(endpoint.memoryShareWith(size)) : 0
 }
 
 /** Rises with the square of the slot utilisation, up to the weight when no slot is free. */
 function crowdingCost (endpoint: EndpointState, weights: ChoiceWeights): number {
   const crowding = Math.max(0, (takenSlots(endpoint) - CROWDED_SLOTS) / (1 - CROWDED_SLOTS))
-  return weights.full * crowding ** 2
+  return weights.fullSlots * crowding ** 2
 }
--- a/routing/balancer/src/distance.ts
+++ b/routing/balancer/src/cross-region.ts
@@ -2,26 +2,26 @@
  * Regions in the choice of an endpoint: a request stays in its own region while that has room, a prompt has one affinity endpoint
  * in each region, and engines copy prompt parts only from engines of their own region.
  */
-import { type Candidate, type Demand } from './choose.ts'
+import { type Candidate, type ChoiceRequest } from './choose.ts'
 import { type EndpointState } from './endpoint-state.ts'
 
 /** The regions as seen by one request. */
-export interface Crossing {
+export interface RegionContext {
   regionOf: (dataCentre: string) => string
   /**
    * The cost of sending this request to another region, in ms: the round trip and a price for its bytes. Undefined if the link
    * between regions has no capacity for it now.
    */
-  costMs: number | undefined
+  crossRegionCostMs: number | undefined
 }
 
 /** The comparison that led to an endpoint in another region. */
-export interface Leaving {
+export interface CrossRegionChoice {
   region: string
   /** The part of the cost that is due to the other region, in ms. */
   costMs: number
   /** The lowest cost in the request's own region; undefined if no endpoint there can accept the request. */
-  stayCost: number | undefined
+  localCost: number | undefined
 }
 
 /**
@@ -31,39 +31,39 @@
  */
 const CROSS_REGION_MS = 300
 
-function regionOf ({ crossing }: Demand, { description }: EndpointState): string {
-  return crossing?.regionOf(description.dataCentre) ?? ''
+function regionOf ({ regions }: ChoiceRequest, { description }: EndpointState): string {
+  return regions?.regionOf(description.dataCentre) ?? ''
 }
 
-function isOtherRegion (demand: Demand, endpoint: EndpointState): boolean {
-  return demand.crossing !== undefined && regionOf(demand, endpoint) !== demand.crossing.regionOf(demand.dataCentre)
+function isOtherRegion (demand: ChoiceRequest, endpoint: EndpointState): boolean {
+  return demand.regions !== undefined && regionOf(demand, endpoint) !== demand.regions.regionOf(demand.dataCentre)
 }
 
 /** Whether an endpoint is in the request's own region, or the link to other regions has capacity for the request. */
-export function isWithinReach (demand: Demand, endpoint: EndpointState): boolean {
-  return demand.crossing?.costMs !== undefined || !isOtherRegion(demand, endpoint)
+export function hasLinkCapacity (demand: ChoiceRequest, endpoint: EndpointState): boolean {
+  return demand.regions?.crossRegionCostMs !== undefined || !isOtherRegion(demand, endpoint)
 }
 
 /** Returns the cost of the distance to an endpoint, in ms. */
-export function distanceCost (demand: Demand, endpoint: EndpointState, otherDataCentreMs: number): number {
+export function distanceCostMs (demand: ChoiceRequest, endpoint: EndpointState, otherDataCentreMs: number): number {
   if (endpoint.description.dataCentre === demand.dataCentre) return 0
-  return isOtherRegion(demand, endpoint) ? CROSS_REGION_MS + (demand.crossing?.costMs ?? 0) : otherDataCentreMs
+  return isOtherRegion(demand, endpoint) ? CROSS_REGION_MS + (demand.regions?.crossRegionCostMs ?? 0) : otherDataCentreMs
 }
 
 /**
  * Whether engines are reserved in the region of an endpoint. Without a reservation in their own region, streams must not prefer the
  * reserved engines of another region: their own region would then have no such streams, and would never reserve an engine.
  */
-export function reservesNear (demand: Demand, endpoint: EndpointState): boolean {
-  if (demand.crossing === undefined) return demand.reserved.size > 0
+export function hasReservedInRegion (demand: ChoiceRequest, endpoint: EndpointState): boolean {
+  if (demand.regions === undefined) return demand.reserved.size > 0
   const region = regionOf(demand, endpoint)
   for (const reserved of demand.reserved) if (regionOf(demand, reserved) === region) return true
   return false
 }
 
 /** Groups endpoints by region; there is one group if the deployment has one region. */
-export function byRegion (demand: Demand, endpoints: readonly EndpointState[]): Map<string, readonly EndpointState[]> {
-  if (demand.crossing === undefined) return new Map([['', endpoints]])
+export function groupByRegion (demand: ChoiceRequest, endpoints: readonly EndpointState[]): Map<string, readonly EndpointState[]> {
+  if (demand.regions === undefined) return new Map([['', endpoints]])
   const groups = new Map<string, EndpointState[]>()
   for (const endpoint of endpoints) {
     const region = regionOf(demand, endpoint)
@@ -75,20 +75,22 @@
 }
 
 /** Computes a value once for each region; the returned function gives the value for the region of an endpoint. */
-export function perRegion<T> (
-  demand: Demand, endpoints: readonly EndpointState[], find: (group: readonly EndpointState[]) => T
+export function findPerRegion<T> (
+  demand: ChoiceRequest, endpoints: readonly EndpointState[], find: (group: readonly EndpointState[]) => T
 ): (endpoint: EndpointState) => T | undefined {
-  const found = new Map([...byRegion(demand, endpoints)].map(([region, group]) => [region, find(group)]))
+  const found = new Map([...groupByRegion(demand, endpoints)].map(([region, group]) => [region, find(group)]))
   return (endpoint) => found.get(regionOf(demand, endpoint))
 }
 
 /** Explains the choice of an endpoint in another region; undefined if the request stays in its own region. */
-export function leavingOf (demand: Demand, chosen: Candidate, candidates: readonly Candidate[]): Leaving | undefined {
+export function crossRegionChoiceOf (
+  demand: ChoiceRequest, chosen: Candidate, candidates: readonly Candidate[]
+): CrossRegionChoice | undefined {
   if (!isOtherRegion(demand, chosen.endpoint)) return undefined
   const localCosts = candidates.filter(({ endpoint }) => !isOtherRegion(demand, endpoint)).map(({ cost }) => cost)
   return {
     region: regionOf(demand, chosen.endpoint),
-    costMs: CROSS_REGION_MS + (demand.crossing?.costMs ?? 0),
-    stayCost: localCosts.length === 0 ? undefined : Math.min(...localCosts)
+    costMs: CROSS_REGION_MS + (demand.regions?.crossRegionCostMs ?? 0),
+    localCost: localCosts.length === 0 ? undefined : Math.min(...localCosts)
   }
 }
--- a/routing/balancer/src/endpoint-state.ts
+++ b/routing/balancer/src/endpoint-state.ts
@@ -1,9 +1,9 @@
 /** The state of one incarnation of an endpoint, as one entry observes it. */
-import { HeldMemory, NO_MEMORY_USE, sizeOf, type MemoryUse, type RequestSize } from './engine-memory.ts'
-import { PrefixMemory, type PromptPart } from './prefix-memory.ts'
+import { InFlightMemory, NO_MEMORY_USE, requestSizeOf, type MemoryUse, type RequestSize } from './engine-memory.ts'
+import { PrefixCacheModel, type PromptPart } from './prefix-cache-model.ts'
 import { OutcomeObserver } from './outcome-observer.ts'
-import { ReadingObserver } from './reading-observer.ts'
-import { rankOf } from './rendezvous.ts'
+import { PrefillObserver } from './prefill-observer.ts'
+import { hashName } from './rendezvous.ts'
 
 /**
  * What the end of an attempt shows about the endpoint. The verdict `ended` means that another process answered at its address, so
@@ -27,7 +27,7 @@
 const READ_WITHIN_MS = 600
 
 /** One attempt in flight. */
-export interface Work {
+export interface InFlightRequest {
   readonly startedAt: number
   /** Prompt tokens that needed prefill when the attempt was sent. */
   readonly unreadTokens: number
@@ -36,15 +36,15 @@
   /** All tokens of the prompt, since the endpoint may have none of them cached. */
   readonly promptTokens: number
   /** The pause sensitivity of its stream; 0 if it is no stream or has no limit for pauses. */
-  readonly strain: number
+  readonly pauseSensitivity: number
   /** Whether it is a stream that prefill on the same engine would delay and that needs little prefill itself. */
-  readonly isSensitive: boolean
+  readonly isPauseSensitive: boolean
   /** Prompt tokens whose prefill was queued ahead of it when it was sent. */
   readonly aheadTokens: number
   /** Whether the first event has arrived. */
-  hasBegun: boolean
+  hasFirstEvent: boolean
   /** The time of its latest events; before the first, the time of sending. */
-  eventAt: number
+  lastEventAt: number
 }
 
 /** Prompt tokens of one urgency whose prefill is probably not complete. */
@@ -54,7 +54,7 @@
 }
 
 /** The load of the other entries at an endpoint. */
-export interface OthersWork {
+export interface OthersLoad {
   readonly unread: readonly UnreadTokens[]
   readonly running: number
   /** The sum of the pause sensitivities of their streams. */
@@ -67,7 +67,7 @@
   readonly memory?: MemoryUse | undefined
 }
 
-export const NO_OTHERS: OthersWork = { unread: [], running: 0, strain: 0, sensitive: 0, unreachable: 0 }
+export const NO_OTHERS_LOAD: OthersLoad = { unread: [], running: 0, strain: 0, sensitive: 0, unreachable: 0 }
 
 /** A request that is sent to an endpoint. */
 export interface SentPrompt {
@@ -75,9 +75,9 @@
   unreadTokens: number
   urgency: number
   /** The pause sensitivity of its stream. */
-  strain: number
+  pauseSensitivity: number
   /** Whether it is a stream that prefill on the same engine would delay and that needs little prefill itself. */
-  isSensitive: boolean
+  isPauseSensitive: boolean
   /** The expected length of its answer, in tokens. */
   outputTokens?: number
 }
@@ -95,35 +95,35 @@
 /** Receives the changes of an endpoint that an index of endpoints has to follow. */
 export interface EndpointWatcher {
   /** A prompt part counts as cached at the endpoint from now on. */
-  kept: (endpoint: EndpointState, part: string) => void
+  onPartCached: (endpoint: EndpointState, part: string) => void
   /** A prompt part doesn't count as cached there any more. */
-  dropped: (endpoint: EndpointState, part: string) => void
+  onPartEvicted: (endpoint: EndpointState, part: string) => void
   /** This entry sends a request to the endpoint. */
-  began: (endpoint: EndpointState) => void
+  onRequestStarted: (endpoint: EndpointState) => void
   /** This incarnation of the endpoint has ended. */
-  ended: (endpoint: EndpointState) => void
+  onEnded: (endpoint: EndpointState) => void
 }
 
 /** A salt that makes the point on the affinity ring independent of the reservation rank. */
 const HOME_SALT = 'home '
 
-const NOTHING: RequestSize = { ownTokens: 0, subject: undefined, sharedTokens: 0 }
+const NOTHING: RequestSize = { ownTokens: 0, sharedPrefixId: undefined, sharedTokens: 0 }
 
 let created = 0
 
 export class EndpointState {
-  readonly prefixes: PrefixMemory
-  readonly reading = new ReadingObserver()
+  readonly prefixCache: PrefixCacheModel
+  readonly prefill = new PrefillObserver()
   /** How the attempts of all entries ended at the endpoint. */
   readonly outcomes = new OutcomeObserver()
-  readonly works = new Set<Work>()
+  readonly inFlightRequests = new Set<InFlightRequest>()
   /** The memory that the requests of this entry take at the endpoint. */
-  readonly memory = new HeldMemory()
-  private readonly sizes = new WeakMap<Work, RequestSize>()
+  readonly memory = new InFlightMemory()
+  private readonly sizes = new WeakMap<InFlightRequest, RequestSize>()
   /** The time of the latest byte from the endpoint. */
-  heardAt = -Infinity
+  lastReceivedAt = -Infinity
   /** The load of the other entries at the endpoint, as last reported. */
-  others: OthersWork = NO_OTHERS
+  othersLoad: OthersLoad = NO_OTHERS_LOAD
   /** The moving average of failures among the finished attempts of this entry. */
   failureShare = 0
   /** Whether another process has answered at its address, which means that this incarnation has ended. */
@@ -131,9 +131,9 @@
   /** Its rank among the engines of its service when some of them are reserved; the lowest ranks are reserved first. */
   readonly reservationRank: number
   /** Its point on the affinity ring. */
-  readonly homePoint: number
+  readonly affinityPoint: number
   /** The number of endpoints that became known before it. */
-  readonly seniority = created++
+  readonly registrationOrder = created++
   private ejectedUntil = -Infinity
   private ejections = 0
 
@@ -141,21 +141,21 @@
   constructor (
     public description: EndpointDescription, public memoryTokens = DEFAULT_MEMORY_TOKENS, private readonly watcher?: EndpointWatcher
   ) {
-    this.reservationRank = rankOf(description.incarnation)
-    this.homePoint = rankOf(HOME_SALT + description.incarnation)
-    this.prefixes = new PrefixMemory(memoryTokens * CACHE_SHARE, {
-      kept: (part) => watcher?.kept(this, part),
-      dropped: (part) => watcher?.dropped(this, part)
+    this.reservationRank = hashName(description.incarnation)
+    this.affinityPoint = hashName(HOME_SALT + description.incarnation)
+    this.prefixCache = new PrefixCacheModel(memoryTokens * CACHE_SHARE, {
+      onCached: (part) => watcher?.onPartCached(this, part),
+      onEvicted: (part) => watcher?.onPartEvicted(this, part)
     })
   }
 
   get inFlight (): number {
-    return this.works.size
+    return this.inFlightRequests.size
   }
 
   /** The number of requests in flight from all entries. */
   get running (): number {
-    return this.works.size + this.others.running
+    return this.inFlightRequests.size + this.othersLoad.running
   }
 
   /** Prompt tokens from all entries whose prefill is probably not complete. */
@@ -166,10 +166,10 @@
   /** Returns the tokens of the backlog whose prefill goes before or along with a request of some urgency. */
   tokensAhead (urgency: number): number {
     let tokens = 0
-    for (const work of this.works) {
-      if (!work.hasBegun && work.urgency <= urgency) tokens += work.unreadTokens
+    for (const work of this.inFlightRequests) {
+      if (!work.hasFirstEvent && work.urgency <= urgency) tokens += work.unreadTokens
     }
-    for (const unread of this.others.unread) {
+    for (const unread of this.othersLoad.unread) {
       if (unread.urgency <= urgency) tokens += unread.tokens
     }
     return tokens
@@ -178,34 +178,34 @@
   /** Returns the part of the backlog that this entry has sent. */
   ownUnread (): UnreadTokens[] {
     const byUrgency = new Map<number, number>()
-    for (const { hasBegun, urgency, unreadTokens } of this.works) {
-      if (!hasBegun) byUrgency.set(urgency, (byUrgency.get(urgency) ?? 0) + unreadTokens)
+    for (const { hasFirstEvent, urgency, unreadTokens } of this.inFlightRequests) {
+      if (!hasFirstEvent) byUrgency.set(urgency, (byUrgency.get(urgency) ?? 0) + unreadTokens)
     }
     return [...byUrgency].map(([urgency, tokens]) => ({ urgency, tokens }))
   }
 
   /** The sum of the pause sensitivities of this entry's streams at the endpoint. */
-  get ownStrain (): number {
+  get ownPauseSensitivity (): number {
     let strain = 0
-    for (const work of this.works) strain += work.strain
+    for (const work of this.inFlightRequests) strain += work.pauseSensitivity
     return strain
   }
 
   /** The sum of the pause sensitivities of all entries' streams at the endpoint. */
-  get strain (): number {
-    return this.ownStrain + this.others.strain
+  get pauseSensitivity (): number {
+    return this.ownPauseSensitivity + this.othersLoad.strain
   }
 
   /** The number of this entry's pause-sensitive streams at the endpoint. */
-  get ownSensitive (): number {
+  get ownPauseSensitiveStreams (): number {
     let count = 0
-    for (const work of this.works) if (work.isSensitive) count += 1
+    for (const work of this.inFlightRequests) if (work.isPauseSensitive) count += 1
     return count
   }
 
   /** The number of all entries' pause-sensitive streams at the endpoint. */
-  get sensitive (): number {
-    return this.ownSensitive + this.others.sensitive
+  get pauseSensitiveStreams (): number {
+    return this.ownPauseSensitiveStreams + this.othersLoad.sensitive
   }
 
   /** The share of its memory that the requests of all entries will take. */
@@ -216,31 +216,41 @@
   /** Returns the share of its memory that the requests of all entries will take together with one more. */
   memoryShareWith (size: RequestSize): number {
     if (this.memoryTokens <= 0) return 0
-    const others = this.others.memory ?? NO_MEMORY_USE
-    const isKept = size.subject !== undefined && this.prefixes.has(size.subject)
-    return (this.memory.tokensWith(others) + this.memory.addedBy(size, others, isKept)) / this.memoryTokens
+    const others = this.othersLoad.memory ?? NO_MEMORY_USE
+    const isKept = size.sharedPrefixId !== undefined && this.prefixCache.has(size.sharedPrefixId)
+    return (this.memory.tokensWith(others) + this.memory.tokensAddedBy(size, others, isKept)) / this.memoryTokens
   }
 
   /**
    * Samples the prefill backlog.
    * @param intervals number of regular sampling intervals that the sample stands for
    */
-  sampleReading (now: number, intervals = 1): void {
-    this.reading.sample(this.backlogTokens, now, intervals)
+  samplePrefill (now: number, intervals = 1): void {
+    this.prefill.sample(this.backlogTokens, now, intervals)
   }
 
-  begin ({ prompt, unreadTokens, urgency, strain, isSensitive, outputTokens = 0 }: SentPrompt, now: number): Work {
+  begin (
+    { prompt, unreadTokens, urgency, pauseSensitivity, isPauseSensitive, outputTokens = 0 }: SentPrompt, now: number
+  ): InFlightRequest {
     const promptTokens = prompt.reduce((tokens, part) => tokens + part.tokens, 0)
     const aheadTokens = this.tokensAhead(urgency)
-    const size = sizeOf(prompt, outputTokens)
-    const work: Work = {
-      startedAt: now, unreadTokens, urgency, promptTokens, strain, isSensitive, aheadTokens, hasBegun: false, eventAt: now
+    const size = requestSizeOf(prompt, outputTokens)
+    const work: InFlightRequest = {
+      startedAt: now,
+      unreadTokens,
+      urgency,
+      promptTokens,
+      pauseSensitivity,
+      isPauseSensitive,
+      aheadTokens,
+      hasFirstEvent: false,
+      lastEventAt: now
     }
-    this.works.add(work)
+    this.inFlightRequests.add(work)
     this.sizes.set(work, size)
     this.memory.add(size)
-    this.watcher?.began(this)
-    this.noteKept(prompt, now)
+    this.watcher?.onRequestStarted(this)
+    this.recordCached(prompt, now)
     return work
   }
 
@@ -248,24 +258,24 @@
    * Records that an entry has sent prompt parts to the endpoint. Other endpoints can copy the parts once the prefill of the present
    * backlog and of the parts is complete.
    */
-  noteKept (parts: readonly PromptPart[], now: number): void {
-    this.prefixes.note(parts, now + READ_WITHIN_MS + this.backlogTokens / this.reading.tokensPerMs)
+  recordCached (parts: readonly PromptPart[], now: number): void {
+    this.prefixCache.record(parts, now + READ_WITHIN_MS + this.backlogTokens / this.prefill.tokensPerMs)
   }
 
   /** Records that events of an attempt have arrived. */
-  noteEvents (work: Work, now: number): void {
-    const sinceLast = now - work.eventAt
-    if (work.hasBegun) this.reading.notePause(sinceLast, work.eventAt)
-    else this.reading.noteRead({ tokens: work.unreadTokens, aheadTokens: work.aheadTokens, tookMs: sinceLast })
-    work.hasBegun = true
-    work.eventAt = now
+  recordEvents (work: InFlightRequest, now: number): void {
+    const sinceLast = now - work.lastEventAt
+    if (work.hasFirstEvent) this.prefill.recordPause(sinceLast, work.lastEventAt)
+    else this.prefill.recordPrefill({ tokens: work.unreadTokens, aheadTokens: work.aheadTokens, tookMs: sinceLast })
+    work.hasFirstEvent = true
+    work.lastEventAt = now
   }
 
-  end (work: Work, verdict: AttemptVerdict, now: number): void {
-    this.works.delete(work)
+  end (work: InFlightRequest, verdict: AttemptVerdict, now: number): void {
+    this.inFlightRequests.delete(work)
     this.release(work)
     if (verdict === 'neutral') return
-    if (verdict === 'good' || verdict === 'failed') this.outcomes.note(verdict === 'good')
+    if (verdict === 'good' || verdict === 'failed') this.outcomes.record(verdict === 'good')
     const failed = verdict === 'good' ? 0 : 1
     this.failureShare += FAILURE_WEIGHT * (failed - this.failureShare)
     if (verdict === 'unreachable') this.eject(now)
@@ -279,13 +289,13 @@
   }
 
   /** Whether this entry can't reach the endpoint: a connection failed recently, or another process has its address. */
-  isDead (now: number): boolean {
+  isUnreachable (now: number): boolean {
     return this.hasEnded || this.isEjected(now)
   }
 
   /** The share of other entries that could not connect there, among those that lately could not or have work there. */
   get unreachableShare (): number {
-    const { unreachable, running } = this.others
+    const { unreachable, running } = this.othersLoad
     return unreachable / (unreachable + running + 1)
   }
 
@@ -293,14 +303,14 @@
   isSilent (now: number): boolean {
     let oldest = Infinity
     let promptTokens = 0
-    for (const work of this.works) {
+    for (const work of this.inFlightRequests) {
       oldest = Math.min(oldest, work.startedAt)
-      if (!work.hasBegun) promptTokens += work.promptTokens
+      if (!work.hasFirstEvent) promptTokens += work.promptTokens
     }
-    return now - Math.max(this.heardAt, oldest) > SILENT_MS + promptTokens / SLOWEST_READ_TOKENS_PER_MS
+    return now - Math.max(this.lastReceivedAt, oldest) > SILENT_MS + promptTokens / SLOWEST_READ_TOKENS_PER_MS
   }
 
-  private release (work: Work): void {
+  private release (work: InFlightRequest): void {
     const size = this.sizes.get(work)
     if (size === undefined) return
     this.sizes.delete(work)
@@ -309,7 +319,7 @@
 
   private noteEnded (): void {
     this.hasEnded = true
-    this.watcher?.ended(this)
+    this.watcher?.onEnded(this)
   }
 
   private eject (now: number): void {
--- a/routing/balancer/src/engine-memory.ts
+++ b/routing/balancer/src/engine-memory.ts
@@ -7,8 +7,8 @@
  * counting a prefix twice, which estimates the memory to within a tenth. Adding up the numbers of the entries would count a prefix
  * once for each entry that uses it. Parts that two shared prefixes have in common count for both of them.
  */
-import { type PromptPart } from './prefix-memory.ts'
-import { rankOf } from './rendezvous.ts'
+import { type PromptPart } from './prefix-cache-model.ts'
+import { hashName } from './rendezvous.ts'
 
 /** The sketch consists of two 32-bit numbers. */
 const WORD_BITS = 32
@@ -27,7 +27,7 @@
   /** The unshared part of its prompt and the expected answer. */
   ownTokens: number
   /** The id of its deepest shared prompt part; undefined if the prompt has only one part. */
-  subject: string | undefined
+  sharedPrefixId: string | undefined
   /** The tokens of all shared parts. */
   sharedTokens: number
 }
@@ -47,17 +47,17 @@
 export const NO_MEMORY_USE: MemoryUse = { tokens: 0, sharedTokens: 0, sharing: 0, subjects: [0, 0] }
 
 /** Returns the memory that a request will take. */
-export function sizeOf (prompt: readonly PromptPart[], outputTokens: number): RequestSize {
+export function requestSizeOf (prompt: readonly PromptPart[], outputTokens: number): RequestSize {
   const shared = prompt.slice(0, -1)
   return {
     ownTokens: (prompt.at(-1)?.tokens ?? 0) + outputTokens,
-    subject: shared.at(-1)?.id,
+    sharedPrefixId: shared.at(-1)?.id,
     sharedTokens: shared.reduce((sum, { tokens }) => sum + tokens, 0)
   }
 }
 
 /** Adds the memory of two groups of entries. */
-export function joinUse (left: MemoryUse, right: MemoryUse): MemoryUse {
+export function addMemoryUse (left: MemoryUse, right: MemoryUse): MemoryUse {
   return {
     tokens: left.tokens + right.tokens,
     sharedTokens: left.sharedTokens + right.sharedTokens,
@@ -72,26 +72,26 @@
 }
 
 /** The memory that the requests of this entry take at one engine. */
-export class HeldMemory {
+export class InFlightMemory {
   private readonly subjects = new Map<string, PrefixUse>()
   private ownTokens = 0
   /** The summary of the shared prefixes, cached until they change, since each choice needs it for many engines. */
   private summary: Summary | undefined
 
-  add ({ ownTokens, subject, sharedTokens }: RequestSize): void {
+  add ({ ownTokens, sharedPrefixId, sharedTokens }: RequestSize): void {
     this.ownTokens += ownTokens
-    if (subject === undefined) return
-    const requests = (this.subjects.get(subject)?.requests ?? 0) + 1
-    this.subjects.set(subject, { tokens: sharedTokens, requests })
+    if (sharedPrefixId === undefined) return
+    const requests = (this.subjects.get(sharedPrefixId)?.requests ?? 0) + 1
+    this.subjects.set(sharedPrefixId, { tokens: sharedTokens, requests })
     this.summary = undefined
   }
 
-  remove ({ ownTokens, subject }: RequestSize): void {
+  remove ({ ownTokens, sharedPrefixId }: RequestSize): void {
     this.ownTokens -= ownTokens
-    const known = subject === undefined ? undefined : this.subjects.get(subject)
-    if (subject === undefined || known === undefined) return
+    const known = sharedPrefixId === undefined ? undefined : this.subjects.get(sharedPrefixId)
+    if (sharedPrefixId === undefined || known === undefined) return
     known.requests -= 1
-    if (known.requests === 0) this.subjects.delete(subject)
+    if (known.requests === 0) this.subjects.delete(sharedPrefixId)
     this.summary = undefined
   }
 
@@ -115,8 +115,10 @@
    * @param isCached whether its shared parts count as cached at the engine. This check is needed besides the sketch: with 30 prefixes
    * there, a bit of the sketch belongs to another prefix in four of ten cases.
    */
-  addedBy ({ ownTokens, subject, sharedTokens }: RequestSize, others: MemoryUse, isCached: boolean): number {
-    const isPresent = subject === undefined || this.subjects.has(subject) || (isCached && hasBit(others.subjects, bitOf(subject)))
+  tokensAddedBy ({ ownTokens, sharedPrefixId, sharedTokens }: RequestSize, others: MemoryUse, isCached: boolean): number {
+    const isPresent = sharedPrefixId === undefined || this.subjects.has(sharedPrefixId) || (
+      isCached && hasBit(others.subjects, bitOf(sharedPrefixId))
+    )
     return ownTokens + (isPresent ? 0 : sharedTokens)
   }
 
@@ -156,7 +158,7 @@
 }
 
 /** Returns the penalty for memory utilisation: 0 up to the share from which an engine is avoided, 1 if it is full. */
-export function memoryCrowding (share: number): number {
+export function memoryUtilisationPenalty (share: number): number {
   return Math.min(1, Math.max(0, (share - PENALTY_FROM_SHARE) / (FULL_SHARE - PENALTY_FROM_SHARE))) ** 2
 }
 
@@ -169,14 +171,14 @@
  * Returns the reason why no engine with some memory can ever run a request, or undefined if one can. Only the prompt and one token of
  * the answer are certain to be needed.
  */
-export function whyTooLarge (prompt: readonly PromptPart[], memoryTokens: number): string | undefined {
+export function findMemoryRefusalReason (prompt: readonly PromptPart[], memoryTokens: number): string | undefined {
   const tokens = prompt.reduce((sum, part) => sum + part.tokens, 0) + 1
   if (memoryTokens <= 0 || tokens <= memoryTokens) return undefined
   return `its prompt and a first token take ${tokens} tokens, and the memory of an engine holds ${memoryTokens}`
 }
 
 function bitOf (subject: string): number {
-  return rankOf(subject) % SKETCH_BITS
+  return hashName(subject) % SKETCH_BITS
 }
 
 function hasBit ([low, high]: readonly [number, number], bit: number): boolean {
--- a/routing/balancer/src/engine-census.ts
+++ b/routing/balancer/src/engine-totals.ts
@@ -12,19 +12,19 @@
 
 const NOTHING: Counted = { slots: 0, pauseMs: 0, sensitive: 0 }
 
-export class EngineCensus {
+export class EngineTotals {
   private readonly counted = new Map<EndpointState, Counted>()
   private readonly sums: Counted = { ...NOTHING }
 
   /** Replaces the values of an engine by its present ones. */
-  count (engine: EndpointState): void {
-    const now = { slots: engine.description.slots, pauseMs: engine.reading.pauseMs, sensitive: engine.sensitive }
+  update (engine: EndpointState): void {
+    const now = { slots: engine.description.slots, pauseMs: engine.prefill.pauseMs, sensitive: engine.pauseSensitiveStreams }
     this.replace(this.counted.get(engine), now)
     this.counted.set(engine, now)
   }
 
   /** Removes an engine that accepts no new requests. */
-  leaveOut (engine: EndpointState): void {
+  remove (engine: EndpointState): void {
     this.replace(this.counted.get(engine), NOTHING)
     this.counted.delete(engine)
   }
@@ -38,7 +38,7 @@
   }
 
   /** The number of pause-sensitive streams at all engines. */
-  get sensitive (): number {
+  get pauseSensitiveStreams (): number {
     return this.sums.sensitive
   }
 
--- a/routing/balancer/src/outcome-observer.ts
+++ b/routing/balancer/src/outcome-observer.ts
@@ -23,18 +23,18 @@
   private seen: Outcomes = { good: 0, failed: 0 }
 
   /** Records the outcome of an attempt of this entry. It affects the share only through the reports to control. */
-  note (isGood: boolean): void {
+  record (isGood: boolean): void {
     if (isGood) this.seen.good += 1
     else this.seen.failed += 1
   }
 
   /** Whether there are outcomes that have not been reported. */
-  get hasSeen (): boolean {
+  get hasObservations (): boolean {
     return this.seen.good + this.seen.failed > 0
   }
 
   /** Returns the outcomes since the last call. */
-  takeSeen (): Outcomes {
+  takeObservations (): Outcomes {
     const { seen } = this
     this.seen = { good: 0, failed: 0 }
     return seen
@@ -45,7 +45,7 @@
     const attempts = good + failed
     if (attempts === 0) return
     const weight = 1 - (1 - OUTCOME_WEIGHT) ** attempts
-    this.adopt(this.shareAt(now) + weight * (failed / attempts - this.shareAt(now)), now)
+    this.adopt(this.failureShareAt(now) + weight * (failed / attempts - this.failureShareAt(now)), now)
   }
 
   /** Replaces the share by that over all entries. */
@@ -55,12 +55,12 @@
   }
 
   /** Returns the share of recent attempts that failed; 0 if nothing is known. */
-  shareAt (now: number): number {
+  failureShareAt (now: number): number {
     return this.share === 0 ? 0 : this.share * 0.5 ** ((now - this.learntAt) / HALF_LIFE_MS)
   }
 
   /** Returns the part of the share above the ordinary one. */
-  excessAt (now: number): number {
-    return Math.max(0, this.shareAt(now) - ORDINARY_SHARE)
+  excessFailureShareAt (now: number): number {
+    return Math.max(0, this.failureShareAt(now) - ORDINARY_SHARE)
   }
 }
--- a/routing/balancer/src/strain.ts
+++ b/routing/balancer/src/pause-sensitivity.ts
@@ -15,7 +15,7 @@
  * @param targetPauseMs the longest acceptable pause between events, in ms
  * @param readingPauseMs the pauses between events during prefill at the engine, in ms
  */
-export function strainOf (targetPauseMs: number | undefined, readingPauseMs: number): number {
+export function pauseSensitivityOf (targetPauseMs: number | undefined, readingPauseMs: number): number {
   return targetPauseMs === undefined ? 0 : Math.min(MAX_STRAIN, (readingPauseMs / targetPauseMs) ** STRAIN_EXPONENT)
 }
 
@@ -25,6 +25,6 @@
 const FULL_READ_MS = 200
 
 /** Returns the share of an engine's streams, from 0 to 1, that uninterrupted prefill of some duration delays. */
-export function spoiltShare (readMs: number): number {
+export function delayedStreamShare (readMs: number): number {
   return Math.min(1, Math.max(0, (readMs - HARMLESS_READ_MS) / (FULL_READ_MS - HARMLESS_READ_MS)))
 }
--- a/routing/balancer/src/reading-observer.ts
+++ b/routing/balancer/src/prefill-observer.ts
@@ -37,7 +37,7 @@
 const MAX_UNREPORTED = 16
 
 /** The time that the prefill of a prompt took. */
-export interface TimedRead {
+export interface PrefillSample {
   /** Tokens of the prompt that needed prefill. */
   tokens: number
   /** Tokens of other prompts whose prefill went first. */
@@ -46,20 +46,20 @@
 }
 
 /** The observations of an entry since its last report. */
-export interface SeenReading {
+export interface PrefillObservations {
   pauses: number[]
-  reads: TimedRead[]
+  reads: PrefillSample[]
 }
 
-export class ReadingObserver {
+export class PrefillObserver {
   /** The prefill speed beside the usual streams, in tokens a ms. */
   tokensPerMs = UNKNOWN_TOKENS_PER_MS
   /** The pause between events of a stream during prefill, in ms; about the 90th percentile. */
   pauseMs = UNKNOWN_PAUSE_MS
   /** The share of the recent seconds that prefill took, from 0 to 1. */
-  share = 0
+  busyShare = 0
   private busyAt = -Infinity
-  private seen: SeenReading = { pauses: [], reads: [] }
+  private seen: PrefillObservations = { pauses: [], reads: [] }
 
   /**
    * Samples the prefill backlog.
@@ -69,25 +69,25 @@
     const isReading = Math.min(1, backlogTokens / BUSY_TOKENS)
     if (isReading === 1) this.busyAt = now
     const weight = intervals === 1 ? SHARE_WEIGHT : 1 - (1 - SHARE_WEIGHT) ** intervals
-    this.share += weight * (isReading - this.share)
+    this.busyShare += weight * (isReading - this.busyShare)
   }
 
   /** Records that the prefill of a prompt is complete. */
-  noteRead (read: TimedRead): void {
+  recordPrefill (read: PrefillSample): void {
     if (read.tokens < MIN_TIMED_TOKENS || read.tookMs < MIN_TIMED_MS) return
     if (this.seen.reads.length < MAX_UNREPORTED) this.seen.reads.push(read)
-    this.learnRead(read)
+    this.learnPrefill(read)
   }
 
   /** Updates the speed from the prefill of a prompt that is long enough. */
-  learnRead ({ tokens, aheadTokens, tookMs }: TimedRead): void {
+  learnPrefill ({ tokens, aheadTokens, tookMs }: PrefillSample): void {
     const seen = clamp((tokens + aheadTokens) / tookMs, this.tokensPerMs / SPEED_STEP, this.tokensPerMs * SPEED_STEP)
     const learnt = this.tokensPerMs + SPEED_WEIGHT * (seen - this.tokensPerMs)
     this.tokensPerMs = clamp(learnt, UNKNOWN_TOKENS_PER_MS / SPEED_RANGE, UNKNOWN_TOKENS_PER_MS * SPEED_RANGE)
   }
 
   /** Records the time between two events of a stream; it counts if the engine was busy with prefill in between. */
-  notePause (pauseMs: number, startedAt: number): void {
+  recordPause (pauseMs: number, startedAt: number): void {
     if (this.busyAt < startedAt || pauseMs < MIN_READING_PAUSE_MS) return
     if (this.seen.pauses.length < MAX_UNREPORTED) this.seen.pauses.push(Math.round(pauseMs))
     this.learnPause(pauseMs)
@@ -101,20 +101,20 @@
   }
 
   /** Replaces the estimates by those from the observations of all entries. */
-  adopt ({ tokensPerMs, pauseMs }: Pick<ReadingObserver, 'tokensPerMs' | 'pauseMs'>): void {
+  adopt ({ tokensPerMs, pauseMs }: Pick<PrefillObserver, 'tokensPerMs' | 'pauseMs'>): void {
     this.tokensPerMs = tokensPerMs
     this.pauseMs = pauseMs
   }
 
   /** Whether there are observations that have not been reported. */
-  get hasSeen (): boolean {
+  get hasObservations (): boolean {
     return this.seen.pauses.length + this.seen.reads.length > 0
   }
 
   /** Returns the observations since the last call; undefined if there are none. */
-  takeSeen (): SeenReading | undefined {
+  takeObservations (): PrefillObservations | undefined {
     const { seen } = this
-    if (!this.hasSeen) return undefined
+    if (!this.hasObservations) return undefined
     this.seen = { pauses: [], reads: [] }
     return seen
   }
--- a/routing/balancer/src/prefix-memory.ts
+++ b/routing/balancer/src/prefix-cache-model.ts
@@ -17,11 +17,11 @@
 
 /** Receives changes of the cached parts. */
 export interface PartWatcher {
-  kept: (part: string) => void
-  dropped: (part: string) => void
+  onCached: (part: string) => void
+  onEvicted: (part: string) => void
 }
 
-export class PrefixMemory {
+export class PrefixCacheModel {
   private readonly parts = new Map<string, CachedPart>()
   private tokens = 0
 
@@ -47,12 +47,12 @@
    * Records a prompt that was sent to the endpoint.
    * @param completeAt time at which its prefill is probably complete; a part that is already cached keeps its earlier time
    */
-  note (prompt: readonly PromptPart[], completeAt: number): void {
+  record (prompt: readonly PromptPart[], completeAt: number): void {
     for (const { id, tokens } of prompt) {
       const known = this.removePart(id)
       this.parts.set(id, { tokens, completeAt: known?.completeAt ?? completeAt })
       this.tokens += tokens
-      if (known === undefined) this.watcher?.kept(id)
+      if (known === undefined) this.watcher?.onCached(id)
     }
     for (const id of this.parts.keys()) {
       if (this.tokens <= this.capacityTokens) return
@@ -67,7 +67,7 @@
 
   private evict (id: string): void {
     this.removePart(id)
-    this.watcher?.dropped(id)
+    this.watcher?.onEvicted(id)
   }
 
   private removePart (id: string): CachedPart | undefined {
--- a/routing/balancer/src/keepers.ts
+++ b/routing/balancer/src/prefix-holders.ts
@@ -1,20 +1,20 @@
 /** The endpoints that have a prompt part cached, by part; a choice among thousands of endpoints would be slow without this index. */
 import { type EndpointState } from './endpoint-state.ts'
-import { type PromptPart } from './prefix-memory.ts'
+import { type PromptPart } from './prefix-cache-model.ts'
 
 /** The most endpoints to check for a part that many have cached. */
 const MAX_CHECKS = 64
 
-export interface KeeperSearch {
+export interface PrefixHolderQuery {
   prompt: readonly PromptPart[]
   /** The most endpoints to return. */
-  most: number
+  limit: number
   accepts: (endpoint: EndpointState) => boolean
   /** Returns a number from 0 to 1 that sets where the search begins among the endpoints with the same part. */
   random: () => number
 }
 
-export class Keepers {
+export class PrefixHolders {
   /** Most parts are cached by one endpoint only, which needs no list. */
   private readonly byPart = new Map<string, EndpointState | EndpointState[]>()
 
@@ -36,13 +36,13 @@
   }
 
   /** Returns endpoints that have a prefix of a prompt cached, those with the longest prefix first. */
-  of ({ prompt, most, accepts, random }: KeeperSearch): Set<EndpointState> {
+  find ({ prompt, limit, accepts, random }: PrefixHolderQuery): Set<EndpointState> {
     const found = new Set<EndpointState>()
-    for (let depth = prompt.length - 1; depth >= 0 && found.size < most; depth -= 1) {
+    for (let depth = prompt.length - 1; depth >= 0 && found.size < limit; depth -= 1) {
       const keepers = this.keepersOf(prompt[depth]?.id ?? '')
       const start = Math.floor(random() * keepers.length)
       const checks = Math.min(keepers.length, MAX_CHECKS)
-      for (let check = 0; check < checks && found.size < most; check += 1) {
+      for (let check = 0; check < checks && found.size < limit; check += 1) {
         const endpoint = keepers[(start + check) % keepers.length]
         if (endpoint !== undefined && accepts(endpoint)) found.add(endpoint)
       }
--- a/routing/balancer/src/region-link.ts
+++ b/routing/balancer/src/region-link.ts
@@ -25,7 +25,7 @@
   /** The capacity of the link in each direction for all traffic, in Mbit/s. */
   mbitPerS?: number | undefined
   /** Returns the number of entries that share the link. */
-  entries: () => number
+  entryCount: () => number
   now?: () => number
 }
 
@@ -54,21 +54,21 @@
   }
 
   /** Records bytes that cross the link; negative to correct an estimate that was too high. */
-  take (bytes: number): void {
+  recordBytes (bytes: number): void {
     this.recordedBytes = Math.max(0, this.usedBytes() + bytes)
     this.recordedAt = this.now()
   }
 
   /** Records how long it took to connect to another region. A congested link shows in a longer round trip. */
-  noteRoundTrip (ms: number): void {
+  recordRoundTrip (ms: number): void {
     this.roundTripMs = this.isMeasured ? this.roundTripMs + ROUND_TRIP_WEIGHT * (ms - this.roundTripMs) : ms
     this.isMeasured = true
   }
 
   /** The part of the link for requests of this entry. */
   private get bytesPerMs (): number {
-    const { mbitPerS = DEFAULT_MBIT_PER_S, entries } = this.options
-    return SHARE_FOR_REQUESTS * mbitPerS * 1e6 / BITS_PER_BYTE / MS_PER_S / Math.max(1, entries())
+    const { mbitPerS = DEFAULT_MBIT_PER_S, entryCount } = this.options
+    return SHARE_FOR_REQUESTS * mbitPerS * 1e6 / BITS_PER_BYTE / MS_PER_S / Math.max(1, entryCount())
   }
 
   private usedBytes (): number {
--- a/routing/balancer/src/rendezvous.ts
+++ b/routing/balancer/src/rendezvous.ts
@@ -5,7 +5,7 @@
 const FNV_PRIME = 0x01000193
 
 /** Returns the candidate with the highest hash for a key. Removing a candidate changes the result only for the keys that it had. */
-export function rendezvousFirst<T> (subject: string, candidates: readonly T[], nameOf: (candidate: T) => string): T | undefined {
+export function selectByRendezvous<T> (subject: string, candidates: readonly T[], nameOf: (candidate: T) => string): T | undefined {
   const seed = fnv1a(subject, FNV_OFFSET)
   let first: T | undefined
   let highest = -1
@@ -19,12 +19,12 @@
 }
 
 /** Returns a 32-bit hash of a name; it is the same in all entries. */
-export function rankOf (name: string): number {
+export function hashName (name: string): number {
   return mixed(fnv1a(name, FNV_OFFSET))
 }
 
 /** Returns a 32-bit hash of two hashes; it is the same in all entries. */
-export function pairRank (left: number, right: number): number {
+export function hashPair (left: number, right: number): number {
   return mixed(left ^ Math.imul(right, FNV_PRIME))
 }
 
--- a/routing/balancer/src/reserved-engines.ts
+++ b/routing/balancer/src/reserved-engines.ts
@@ -4,10 +4,10 @@
  * prefill can serve all of them. The number of reserved engines follows from the number of such streams, and the selection from the
  * names of the engines, so that entries agree without exchanging messages.
  */
-import { WEIGH_ALL_UP_TO } from './candidate-set.ts'
+import { SCORE_ALL_LIMIT } from './candidate-set.ts'
 import { type EndpointPool } from './endpoint-pool.ts'
 import { type EndpointState } from './endpoint-state.ts'
-import { strainOf } from './strain.ts'
+import { pauseSensitivityOf } from './pause-sensitivity.ts'
 
 /** Streams above this pause sensitivity get reserved engines: the pauses during prefill exceed about two thirds of their limit. */
 const SENSITIVE_STRAIN = 0.25
@@ -32,7 +32,7 @@
 export interface StreamKind {
   route: string
   /** The longest acceptable pause between events, in ms; undefined if the route sets no limit. */
-  pauseMs: number | undefined
+  maxPauseMs: number | undefined
 }
 
 /** The values that the number of reserved engines is computed from. */
@@ -46,7 +46,7 @@
 /** Where engines may be reserved. */
 export interface ReservationOptions {
   /** Whether requests may be sent to a data centre. */
-  mayGoTo?: (dataCentre: string) => boolean
+  isDataCentreAllowed?: (dataCentre: string) => boolean
   /** Returns the region of a data centre. Each region reserves engines for its own streams. */
   regionOf?: (dataCentre: string) => string
 }
@@ -79,13 +79,13 @@
   private readonly pauses = new Map<string, number>()
 
   /** Records a request of a route. */
-  noteRequest ({ route }: Pick<StreamKind, 'route'>, ownTokens: number): void {
+  recordRequest ({ route }: Pick<StreamKind, 'route'>, ownTokens: number): void {
     const known = this.ownTokens.get(route) ?? ownTokens
     this.ownTokens.set(route, known + OWN_TOKENS_WEIGHT * (ownTokens - known))
   }
 
   /** The number of routes with a recorded average. */
-  get knownRoutes (): number {
+  get routeCount (): number {
     return this.ownTokens.size
   }
 
@@ -105,14 +105,15 @@
   }
 
   /** Whether requests of a route are delayed by prefill on the same engine, and need little prefill themselves. */
-  isSensitive ({ route, pauseMs }: StreamKind, service: string): boolean {
+  isPauseSensitive ({ route, maxPauseMs }: StreamKind, service: string): boolean {
     const readingPauseMs = this.pauses.get(service)
-    if (pauseMs === undefined || readingPauseMs === undefined) return false
-    return strainOf(pauseMs, readingPauseMs) > SENSITIVE_STRAIN && (this.ownTokens.get(route) ?? Infinity) <= SHORT_PREFILL_TOKENS
+    if (maxPauseMs === undefined || readingPauseMs === undefined) return false
+    return pauseSensitivityOf(maxPauseMs, readingPauseMs) > SENSITIVE_STRAIN &&
+      (this.ownTokens.get(route) ?? Infinity) <= SHORT_PREFILL_TOKENS
   }
 
   /** Returns the engines of a service that are reserved for pause-sensitive streams now. */
-  of (service: string): ReadonlySet<EndpointState> {
+  get (service: string): ReadonlySet<EndpointState> {
     return this.byService.get(service) ?? NO_ENGINES
   }
 
@@ -131,7 +132,7 @@
       this.byService.delete(service)
       return
     }
-    this.pauses.set(service, mean(engines.map(({ reading }) => reading.pauseMs)))
+    this.pauses.set(service, mean(engines.map(({ prefill }) => prefill.pauseMs)))
     this.byService.set(service, new Set(reserved.flatMap((among) => among ?? [])))
   }
 
@@ -140,35 +141,39 @@
    * instead of visiting every engine, each region reserves in proportion to its engines, and the set is computed again only if it
    * changes.
    */
-  updateFrom (service: string, pool: EndpointPool, { mayGoTo = () => true, regionOf = () => '' }: ReservationOptions = {}): void {
-    if (pool.size <= WEIGH_ALL_UP_TO) {
-      this.update(service, pool.members.items.filter(({ description }) => mayGoTo(description.dataCentre)), regionOf)
+  updateFromPool (
+    service: string, pool: EndpointPool, { isDataCentreAllowed = () => true, regionOf = () => '' }: ReservationOptions = {}
+  ): void {
+    if (pool.size <= SCORE_ALL_LIMIT) {
+      this.update(service, pool.members.items.filter(({ description }) => isDataCentreAllowed(description.dataCentre)), regionOf)
       return
     }
-    const { size, census: { meanSlots, meanPauseMs, sensitive } } = pool
-    const count = this.countFor(`/${service}`, { size, meanSlots, sensitive })
+    const { size, totals: { meanSlots, meanPauseMs, pauseSensitiveStreams } } = pool
+    const count = this.countFor(`/${service}`, { size, meanSlots, sensitive: pauseSensitiveStreams })
     if (count === undefined) {
       this.byService.delete(service)
       return
     }
     this.pauses.set(service, meanPauseMs)
-    this.byService.set(service, this.reservedInPool(service, pool, { count, mayGoTo, regionOf }))
+    this.byService.set(service, this.reservedInPool(service, pool, { count, isDataCentreAllowed, regionOf }))
   }
 
-  private reservedInPool (service: string, pool: EndpointPool, { count, mayGoTo, regionOf }: FleetReservation): ReadonlySet<EndpointState> {
-    const places = [...pool.places].map(({ dataCentre }) => dataCentre).filter(mayGoTo).join(' ')
+  private reservedInPool (
+    service: string, pool: EndpointPool, { count, isDataCentreAllowed, regionOf }: FleetReservation
+  ): ReadonlySet<EndpointState> {
+    const places = [...pool.dataCentrePools].map(({ dataCentre }) => dataCentre).filter(isDataCentreAllowed).join(' ')
     const known = this.cachedReservations.get(service)
     if (known?.version === pool.version && known.count === count && known.places === places) return known.engines
     const quotas = new Map<string, number>()
-    for (const { dataCentre, members } of pool.places) {
+    for (const { dataCentre, members } of pool.dataCentrePools) {
       const region = regionOf(dataCentre)
       quotas.set(region, (quotas.get(region) ?? 0) + count * members.items.length / pool.size)
     }
     const engines = new Set<EndpointState>()
-    for (const engine of pool.byRank.items) {
+    for (const engine of pool.byReservationRank.items) {
       const region = regionOf(engine.description.dataCentre)
       const quota = quotas.get(region) ?? 0
-      if (quota < MIN_QUOTA || !mayGoTo(engine.description.dataCentre)) continue
+      if (quota < MIN_QUOTA || !isDataCentreAllowed(engine.description.dataCentre)) continue
       quotas.set(region, quota - 1)
       engines.add(engine)
     }
@@ -181,7 +186,7 @@
     const count = this.countFor(key, {
       size: engines.length,
       meanSlots: mean(engines.map(({ description }) => description.slots)),
-      sensitive: engines.reduce((sum, engine) => sum + engine.sensitive, 0)
+      sensitive: engines.reduce((sum, engine) => sum + engine.pauseSensitiveStreams, 0)
     })
     return count === undefined ? undefined : byRank(engines).slice(0, count)
   }
--- a/routing/balancer/src/retry-budget.ts
+++ b/routing/balancer/src/retry-budget.ts
@@ -13,7 +13,7 @@
   /** Retries allowed in each window beyond the ratio, by all entries together. */
   slack: number
   /** Returns the number of entries that share the slack. */
-  entries: () => number
+  entryCount: () => number
   now?: () => number
 }
 
@@ -34,24 +34,24 @@
     this.now = options.now ?? (() => performance.now())
   }
 
-  noteRequest (): void {
+  recordRequest (): void {
     this.bucket().requests += 1
   }
 
   /** Takes one retry from the budget; returns false if none is left. */
-  take (): boolean {
-    if (this.left < 1) return false
+  tryTake (): boolean {
+    if (this.remaining < 1) return false
     this.bucket().retries += 1
     return true
   }
 
   /** The number of retries that may still be sent now. */
-  get left (): number {
+  get remaining (): number {
     this.bucket()
     const requests = sum(this.buckets, (bucket) => bucket.requests)
     const retries = sum(this.buckets, (bucket) => bucket.retries)
-    const { ratio, slack, entries } = this.options
-    return USABLE_SHARE * (ratio * requests + slack / Math.max(1, entries())) - retries
+    const { ratio, slack, entryCount } = this.options
+    return USABLE_SHARE * (ratio * requests + slack / Math.max(1, entryCount())) - retries
   }
 
   private bucket (): Bucket {
--- a/routing/balancer/test/distance.test.ts
+++ b/routing/balancer/test/cross-region.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { choose, EndpointState, RegionLink, ReservedEngines, weigh, type Demand, type PromptPart } from '@gullwall/routing.balancer'
+import { choose, EndpointState, RegionLink, ReservedEngines, scoreEndpoints, type ChoiceRequest, type PromptPart } from '@gullwall/routing.balancer'
 
 const LATER = 10_000
 const SLOTS = 64
@@ -8,19 +8,19 @@
 const SMALL_MS = 50
 const LARGE_MS = 240
 const regionOf = (dataCentre: string) => dataCentre[0] ?? ''
-const demand: Demand = {
+const demand: ChoiceRequest = {
   prompt: [SUBJECT, { id: 'own', tokens: 500 }],
   dataCentre: 'n1',
-  crossing: { regionOf, costMs: SMALL_MS },
+  regions: { regionOf, crossRegionCostMs: SMALL_MS },
   tier: 1,
   isResumed: false,
   needsSlot: true,
   targetMs: 2000,
-  pauseMs: undefined,
+  maxPauseMs: undefined,
   excluded: new Set(),
-  sources: [],
-  trustsHome: false,
-  isSensitive: false,
+  copySources: [],
+  isAffinityTrusted: false,
+  isPauseSensitive: false,
   reserved: new Set()
 }
 
@@ -36,7 +36,7 @@
 
 /** Lets other entries have `running` requests in flight at an endpoint. */
 function fill (endpoint: EndpointState, running: number): void {
-  endpoint.others = { unread: [], running, strain: 0, sensitive: 0, unreachable: 0 }
+  endpoint.othersLoad = { unread: [], running, strain: 0, sensitive: 0, unreachable: 0 }
 }
 
 describe('a request in a deployment of two regions', () => {
@@ -47,7 +47,7 @@
       const prompt = [{ id: `subject-${index}`, tokens: 8000 }, { id: 'own', tokens: 500 }]
       const chosen = choose({ ...demand, prompt }, all, LATER)
       expect(chosen?.endpoint).toSatisfy(isNorth)
-      expect(chosen?.leaving).toBeUndefined()
+      expect(chosen?.crossRegion).toBeUndefined()
     }
   })
 
@@ -56,22 +56,22 @@
     for (const endpoint of all.filter(isNorth)) fill(endpoint, 0.9 * SLOTS)
     const chosen = choose({ ...demand, prompt: [{ id: 'own', tokens: 500 }] }, all, LATER)
     expect(chosen?.endpoint).not.toSatisfy(isNorth)
-    expect(chosen?.leaving).toMatchObject({ region: 's', costMs: 300 + SMALL_MS })
-    expect(chosen?.leaving?.stayCost).toBeGreaterThan(chosen?.cost ?? Infinity)
+    expect(chosen?.crossRegion).toMatchObject({ region: 's', costMs: 300 + SMALL_MS })
+    expect(chosen?.crossRegion?.localCost).toBeGreaterThan(chosen?.cost ?? Infinity)
   })
 
   it('goes to the other region if no engine of its own accepts it, unless the link has no capacity', () => {
     const all = twoRegions()
     for (const endpoint of all.filter(isNorth)) fill(endpoint, SLOTS)
-    expect(choose(demand, all, LATER)?.leaving).toMatchObject({ region: 's', stayCost: undefined })
-    expect(choose({ ...demand, crossing: { regionOf, costMs: undefined } }, all, LATER)).toBeUndefined()
+    expect(choose(demand, all, LATER)?.crossRegion).toMatchObject({ region: 's', localCost: undefined })
+    expect(choose({ ...demand, regions: { regionOf, crossRegionCostMs: undefined } }, all, LATER)).toBeUndefined()
   })
 
   it('goes to the other region earlier if it has fewer bytes', () => {
     const crossesFrom = (costMs: number) => Array.from({ length: SLOTS }, (_unused, running) => running).find((running) => {
       const all = twoRegions()
       for (const endpoint of all.filter(isNorth)) fill(endpoint, running)
-      return choose({ ...demand, prompt: [], crossing: { regionOf, costMs } }, all, LATER)?.leaving !== undefined
+      return choose({ ...demand, prompt: [], regions: { regionOf, crossRegionCostMs: costMs } }, all, LATER)?.crossRegion !== undefined
     }) ?? Infinity
     expect(crossesFrom(SMALL_MS)).toBeGreaterThan(0.6 * SLOTS)
     expect(crossesFrom(SMALL_MS)).toBeLessThan(crossesFrom(LARGE_MS))
@@ -80,8 +80,8 @@
   it('needs prefill of the shared parts in the other region, since they are not copied between regions', () => {
     const all = twoRegions()
     const [home] = all
-    home?.prefixes.note([SUBJECT], 0)
-    const candidates = weigh({ ...demand, sources: all }, all, LATER)
+    home?.prefixCache.record([SUBJECT], 0)
+    const candidates = scoreEndpoints({ ...demand, copySources: all }, all, LATER)
     for (const { endpoint, source, unreadTokens } of candidates.filter((candidate) => candidate.endpoint !== home)) {
       expect([source, unreadTokens]).toEqual(isNorth(endpoint) ? [home, 500] : [undefined, 8500])
     }
@@ -91,8 +91,8 @@
     const all = twoRegions()
     for (let index = 0; index < 50; index += 1) {
       const prompt = [{ id: `subject-${index}`, tokens: 8000 }, { id: 'own', tokens: 500 }]
-      const homesFrom = (dataCentre: string) => weigh({ ...demand, prompt, dataCentre }, all, LATER)
-        .filter(({ isHome }) => isHome).map(({ endpoint }) => endpoint)
+      const homesFrom = (dataCentre: string) => scoreEndpoints({ ...demand, prompt, dataCentre }, all, LATER)
+        .filter(({ isAffinityEndpoint }) => isAffinityEndpoint).map(({ endpoint }) => endpoint)
       const homes = homesFrom('n1')
       expect(homes.map(isNorth).sort()).toEqual([false, true])
       expect(homesFrom('s2')).toEqual(homes)
@@ -101,16 +101,16 @@
 
   it('has the same costs in one region as without regions', () => {
     const all = twoRegions()
-    const withoutRegions = weigh({ ...demand, crossing: undefined }, all, LATER)
-    expect(weigh({ ...demand, crossing: { regionOf: () => 'one', costMs: undefined } }, all, LATER)).toEqual(withoutRegions)
-    expect(withoutRegions.filter(({ isHome }) => isHome).length).toBe(1)
+    const withoutRegions = scoreEndpoints({ ...demand, regions: undefined }, all, LATER)
+    expect(scoreEndpoints({ ...demand, regions: { regionOf: () => 'one', crossRegionCostMs: undefined } }, all, LATER)).toEqual(withoutRegions)
+    expect(withoutRegions.filter(({ isAffinityEndpoint }) => isAffinityEndpoint).length).toBe(1)
   })
 })
 
 it('a pause-sensitive stream does not go to another region because engines are reserved only there', () => {
   const all = twoRegions()
   const reserved = new Set(all.filter((endpoint) => !isNorth(endpoint)).slice(0, 1))
-  const chosen = choose({ ...demand, prompt: [{ id: 'own', tokens: 300 }], isSensitive: true, reserved }, all, LATER)
+  const chosen = choose({ ...demand, prompt: [{ id: 'own', tokens: 300 }], isPauseSensitive: true, reserved }, all, LATER)
   expect(chosen?.endpoint).toSatisfy(isNorth)
 })
 
@@ -118,10 +118,10 @@
   const all = twoRegions()
   const busy = all.find(isNorth)
   if (busy === undefined) throw new Error('no engine')
-  busy.others = { unread: [], running: 10, strain: 5, sensitive: 10, unreachable: 0 }
+  busy.othersLoad = { unread: [], running: 10, strain: 5, sensitive: 10, unreachable: 0 }
   const reserved = new ReservedEngines()
   reserved.update('lm', all, regionOf)
-  expect([...reserved.of('lm')].map(isNorth)).toEqual([true])
+  expect([...reserved.get('lm')].map(isNorth)).toEqual([true])
 })
 
 describe('the link between two regions', () => {
@@ -129,7 +129,7 @@
   /** One entry's part, in bytes a second: half of the link of 40 Mbit/s, divided among ten entries. */
   const PART_BYTES_PER_S = 250_000
   let now = 0
-  const link = () => new RegionLink({ mbitPerS: 40, entries: () => ENTRIES, now: () => now })
+  const link = () => new RegionLink({ mbitPerS: 40, entryCount: () => ENTRIES, now: () => now })
 
   it('carries no more requests than their share of it', () => {
     const busy = link()
@@ -138,7 +138,7 @@
     for (; now < from + 10_000; now += 1) {
       for (const bytes of [1000, 9000, 50_000]) {
         if (busy.costMs(bytes) === undefined) continue
-        busy.take(bytes)
+        busy.recordBytes(bytes)
         sent += bytes
       }
     }
@@ -150,7 +150,7 @@
     const busy = link()
     const idleCost = busy.costMs(4000) ?? Infinity
     expect(busy.costMs(8000)).toBeGreaterThan(idleCost)
-    busy.take(0.9 * PART_BYTES_PER_S)
+    busy.recordBytes(0.9 * PART_BYTES_PER_S)
     expect(busy.costMs(4000)).toBeGreaterThan(5 * idleCost)
     expect(busy.costMs(50_000)).toBeUndefined()
     now += 1000
@@ -160,7 +160,7 @@
   it('accepts a request larger than the whole budget while the budget is unused, and charges it to later requests', () => {
     const busy = link()
     expect(busy.costMs(2 * PART_BYTES_PER_S)).toBeGreaterThan(0)
-    busy.take(2 * PART_BYTES_PER_S)
+    busy.recordBytes(2 * PART_BYTES_PER_S)
     now += 1500
     expect(busy.costMs(200_000)).toBeUndefined()
     now += 500
@@ -170,7 +170,7 @@
   it('includes the measured round trip in its cost', () => {
     const slow = link()
     const before = slow.costMs(1000) ?? 0
-    for (let count = 0; count < 30; count += 1) slow.noteRoundTrip(120)
+    for (let count = 0; count < 30; count += 1) slow.recordRoundTrip(120)
     expect(slow.costMs(1000)).toBeCloseTo(before + 100)
   })
 })
--- a/routing/balancer/test/rendezvous.test.ts
+++ b/routing/balancer/test/rendezvous.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { rendezvousFirst } from '../src/index.ts'
+import { selectByRendezvous } from '../src/index.ts'
 
 const ENDPOINTS = 84
 const KEYS = 8400
@@ -7,7 +7,7 @@
 describe('rendezvous hashing', () => {
   const endpoints = Array.from({ length: ENDPOINTS }, (_unused, index) => `i-${index.toString(16).padStart(10, '0')}`)
   const keys = Array.from({ length: KEYS }, (_unused, index) => index.toString(16).padStart(8, '0'))
-  const selectFor = (key: string, candidates: readonly string[]) => rendezvousFirst(key, candidates, (name) => name)
+  const selectFor = (key: string, candidates: readonly string[]) => selectByRendezvous(key, candidates, (name) => name)
 
   it('selects the same endpoint for any order of the endpoints, and none from an empty list', () => {
     const reversed = [...endpoints].reverse()
