--- a/routing/balancer/src/affinity-ring.ts
+++ b/routing/balancer/src/affinity-ring.ts
@@ -21,33 +21,33 @@
 
 /** Returns the affinity endpoint among the accepted endpoints on some rings; undefined if none is near the point. */
 export function findAffinityEndpoint (
-  subject: string, rings: ReadonlyArray<SortedList<EndpointState>>, accepts: (endpoint: EndpointState) => boolean
+  sharedPrefixId: string, rings: ReadonlyArray<SortedList<EndpointState>>, isAllowed: (endpoint: EndpointState) => boolean
 ): EndpointState | undefined {
-  const point = hashName(subject)
+  const point = hashName(sharedPrefixId)
   const cursors = rings.map((ring): Cursor => ({ ring, at: ring.lowerBound(point), passed: 0 }))
-  let home: EndpointState | undefined
+  let selected: EndpointState | undefined
   let highest = -1
   let found = 0
   for (let visited = 0; visited < MAX_VISITED && found < WINDOW; visited += 1) {
-    const cursor = nearest(cursors, point)
+    const cursor = nextCursor(cursors, point)
     if (cursor === undefined) break
     const index = cursor.at % cursor.ring.items.length
     const endpoint = cursor.ring.items[index]
     cursor.at += 1
     cursor.passed += 1
-    if (endpoint === undefined || !accepts(endpoint)) continue
+    if (endpoint === undefined || !isAllowed(endpoint)) continue
     found += 1
-    const rank = hashPair(point, cursor.ring.keys[index] ?? 0)
-    if (rank <= highest) continue
-    highest = rank
-    home = endpoint
+    const hash = hashPair(point, cursor.ring.keys[index] ?? 0)
+    if (hash <= highest) continue
+    highest = hash
+    selected = endpoint
   }
-  return home
+  return selected
 }
 
 /** Returns the ring whose next endpoint follows the point most closely. */
-function nearest (cursors: readonly Cursor[], point: number): Cursor | undefined {
-  let first: Cursor | undefined
+function nextCursor (cursors: readonly Cursor[], point: number): Cursor | undefined {
+  let next: Cursor | undefined
   let least = Infinity
   for (const cursor of cursors) {
     const { ring: { keys }, at, passed } = cursor
@@ -55,7 +55,7 @@
     const distance = ((keys[at % keys.length] ?? 0) - point) >>> 0
     if (distance >= least) continue
     least = distance
-    first = cursor
+    next = cursor
   }
-  return first
+  return next
 }
--- a/routing/balancer/src/candidate-set.ts
+++ b/routing/balancer/src/candidate-set.ts
@@ -45,84 +45,86 @@
 }
 
 /** Returns the endpoints to score for a request. */
-export function selectCandidates (demand: ChoiceRequest, choosable: CandidateScope): CandidateSet {
-  const places = [...choosable.pool.dataCentrePools].filter(({ dataCentre }) => choosable.isDataCentreAllowed(dataCentre))
-  const count = places.reduce((sum, { members }) => sum + members.items.length, 0)
-  return count <= SCORE_ALL_LIMIT ? allCandidates(choosable, places) : sampledCandidates(demand, choosable, places)
+export function selectCandidates (request: ChoiceRequest, scope: CandidateScope): CandidateSet {
+  const pools = [...scope.pool.dataCentrePools].filter(({ dataCentre }) => scope.isDataCentreAllowed(dataCentre))
+  const count = pools.reduce((sum, { members }) => sum + members.items.length, 0)
+  return count <= SCORE_ALL_LIMIT ? allCandidates(scope, pools) : sampledCandidates(request, scope, pools)
 }
 
-function allCandidates ({ pool, isAllowed }: CandidateScope, places: readonly DataCentrePool[]): CandidateSet {
-  const allowed = new Set(places.map(({ dataCentre }) => dataCentre))
+function allCandidates ({ pool, isAllowed }: CandidateScope, pools: readonly DataCentrePool[]): CandidateSet {
+  const allowed = new Set(pools.map(({ dataCentre }) => dataCentre))
   const isWhole = allowed.size === [...pool.dataCentrePools].length
-  const members = isWhole ? pool.members.items : bySeniority(places)
+  const members = isWhole ? pool.members.items : byRegistrationOrder(pools)
   const endpoints = members.filter(isAllowed)
   return { endpoints, affinityEndpoints: undefined, copySources: endpoints }
 }
 
-function bySeniority (places: readonly DataCentrePool[]): EndpointState[] {
-  return places.flatMap(({ members }) => members.items).sort((left, right) => left.registrationOrder - right.registrationOrder)
+function byRegistrationOrder (pools: readonly DataCentrePool[]): EndpointState[] {
+  return pools.flatMap(({ members }) => members.items).sort((left, right) => left.registrationOrder - right.registrationOrder)
 }
 
-function sampledCandidates (demand: ChoiceRequest, choosable: CandidateScope, places: readonly DataCentrePool[]): CandidateSet {
-  const { pool, prefixHolders, random } = choosable
-  const accepts = (endpoint: EndpointState) => isInPools(pool, places, endpoint) && choosable.isAllowed(endpoint)
-  const sources = [...prefixHolders.find({ prompt: demand.prompt, limit: PREFIX_HOLDERS, accepts, random })]
-  const homes = groupPoolsByRegion(demand, places).flatMap((group) => homeOf(demand, choosable, group) ?? [])
-  const found = new Set([...sources, ...homes].filter((endpoint) => canAccept(demand, endpoint)))
-  new Sampler(demand, choosable, found).sampleAll(places)
-  return { endpoints: [...found], affinityEndpoints: homes, copySources: sources }
+function sampledCandidates (request: ChoiceRequest, scope: CandidateScope, pools: readonly DataCentrePool[]): CandidateSet {
+  const { pool, prefixHolders, random } = scope
+  const isAllowed = (endpoint: EndpointState) => isInPools(pool, pools, endpoint) && scope.isAllowed(endpoint)
+  const copySources = [...prefixHolders.find({ prompt: request.prompt, limit: PREFIX_HOLDERS, isAllowed, random })]
+  const affinityEndpoints = groupPoolsByRegion(request, pools).flatMap((group) => selectAffinityEndpoint(request, scope, group) ?? [])
+  const found = new Set([...copySources, ...affinityEndpoints].filter((endpoint) => canAccept(request, endpoint)))
+  new Sampler(request, scope, found).sampleAll(pools)
+  return { endpoints: [...found], affinityEndpoints, copySources }
 }
 
 /** Groups data centre pools by region; there is one group if the deployment has one region. */
-function groupPoolsByRegion ({ regions }: ChoiceRequest, places: readonly DataCentrePool[]): DataCentrePool[][] {
+function groupPoolsByRegion ({ regions }: ChoiceRequest, pools: readonly DataCentrePool[]): DataCentrePool[][] {
   const groups = new Map<string, DataCentrePool[]>()
-  for (const place of places) {
-    const region = regions?.regionOf(place.dataCentre) ?? ''
-    groups.set(region, [...groups.get(region) ?? [], place])
+  for (const dataCentrePool of pools) {
+    const region = regions?.regionOf(dataCentrePool.dataCentre) ?? ''
+    groups.set(region, [...groups.get(region) ?? [], dataCentrePool])
   }
   return [...groups.values()]
 }
 
 /** Returns the affinity endpoint: a reserved engine for a pause-sensitive stream, another engine for any other request. */
-function homeOf (demand: ChoiceRequest, { pool, isAllowed }: CandidateScope, places: readonly DataCentrePool[]): EndpointState | undefined {
-  const subject = sharedPrefixIdOf(demand.prompt)
-  if (subject === undefined) return undefined
-  const { isPauseSensitive, reserved } = demand
-  const rings = places.map(({ affinityRing }) => affinityRing)
-  if (reserved.size === 0) return findAffinityEndpoint(subject, rings, isAllowed)
-  const fits = (endpoint: EndpointState) => reserved.has(endpoint) === isPauseSensitive && isAllowed(endpoint)
-  if (!isPauseSensitive || reserved.size > SCORE_ALL_LIMIT) return findAffinityEndpoint(subject, rings, fits)
+function selectAffinityEndpoint (
+  request: ChoiceRequest, { pool, isAllowed }: CandidateScope, pools: readonly DataCentrePool[]
+): EndpointState | undefined {
+  const sharedPrefixId = sharedPrefixIdOf(request.prompt)
+  if (sharedPrefixId === undefined) return undefined
+  const { isPauseSensitive, reserved } = request
+  const rings = pools.map(({ affinityRing }) => affinityRing)
+  if (reserved.size === 0) return findAffinityEndpoint(sharedPrefixId, rings, isAllowed)
+  const isCandidate = (endpoint: EndpointState) => reserved.has(endpoint) === isPauseSensitive && isAllowed(endpoint)
+  if (!isPauseSensitive || reserved.size > SCORE_ALL_LIMIT) return findAffinityEndpoint(sharedPrefixId, rings, isCandidate)
   // A few reserved engines among many endpoints would rarely be near the point on the common ring.
   const ring = new SortedList<EndpointState>((endpoint) => endpoint.affinityPoint)
-  for (const endpoint of reserved) if (isInPools(pool, places, endpoint)) ring.add(endpoint)
-  return findAffinityEndpoint(subject, [ring], isAllowed)
+  for (const endpoint of reserved) if (isInPools(pool, pools, endpoint)) ring.add(endpoint)
+  return findAffinityEndpoint(sharedPrefixId, [ring], isAllowed)
 }
 
 /** Whether an endpoint is in one of some data centre pools. A removed endpoint may still be reserved or listed as prefix holder. */
-function isInPools (pool: EndpointPool, places: readonly DataCentrePool[], endpoint: EndpointState): boolean {
-  const place = pool.dataCentrePoolOf(endpoint)
-  return place !== undefined && places.includes(place)
+function isInPools (pool: EndpointPool, pools: readonly DataCentrePool[], endpoint: EndpointState): boolean {
+  const dataCentrePool = pool.dataCentrePoolOf(endpoint)
+  return dataCentrePool !== undefined && pools.includes(dataCentrePool)
 }
 
 /** Adds random endpoints that can accept a request to the candidates. */
 class Sampler {
   constructor (
-    private readonly demand: ChoiceRequest, private readonly choosable: CandidateScope, private readonly found: Set<EndpointState>
+    private readonly request: ChoiceRequest, private readonly scope: CandidateScope, private readonly found: Set<EndpointState>
   ) {}
 
-  sampleAll (places: readonly DataCentrePool[]): void {
-    const { demand: { dataCentre, isPauseSensitive, reserved }, choosable: { pool }, found } = this
-    const local = places.find((place) => place.dataCentre === dataCentre)
+  sampleAll (pools: readonly DataCentrePool[]): void {
+    const { request: { dataCentre, isPauseSensitive, reserved }, scope: { pool }, found } = this
+    const local = pools.find((dataCentrePool) => dataCentrePool.dataCentre === dataCentre)
     if (local !== undefined) this.sample(local.members.items, local.members.items.length, LOCAL_SAMPLE)
-    if (isPauseSensitive && reserved.size > 0) this.sample(pool.byReservationRank.items, reserved.size, LOCAL_SAMPLE, places)
-    for (const { members: { items } } of places) this.sample(items, items.length, this.shareOf(items.length, places))
-    if (found.size === 0) for (const { members: { items } } of places) this.sample(items, items.length, 1, places, FALLBACK_DRAWS)
+    if (isPauseSensitive && reserved.size > 0) this.sample(pool.byReservationRank.items, reserved.size, LOCAL_SAMPLE, pools)
+    for (const { members: { items } } of pools) this.sample(items, items.length, this.sampleSizeOf(items.length, pools))
+    if (found.size === 0) for (const { members: { items } } of pools) this.sample(items, items.length, 1, pools, FALLBACK_DRAWS)
   }
 
   /** Returns the sample size for a data centre with some number of endpoints, in proportion to all; it is rounded at random. */
-  private shareOf (members: number, places: readonly DataCentrePool[]): number {
-    const all = places.reduce((sum, place) => sum + place.members.items.length, 0)
-    return Math.floor(GLOBAL_SAMPLE * members / all + this.choosable.random())
+  private sampleSizeOf (members: number, pools: readonly DataCentrePool[]): number {
+    const all = pools.reduce((sum, dataCentrePool) => sum + dataCentrePool.members.items.length, 0)
+    return Math.floor(GLOBAL_SAMPLE * members / all + this.scope.random())
   }
 
   /** Adds up to `count` of the first `among` endpoints of a list. */
@@ -131,15 +133,15 @@
   ): void {
     let missing = count
     for (let draw = 0; draw < draws && missing > 0; draw += 1) {
-      const endpoint = list[Math.floor(this.choosable.random() * Math.min(among, list.length))]
+      const endpoint = list[Math.floor(this.scope.random() * Math.min(among, list.length))]
       if (endpoint === undefined || !this.isSelectable(endpoint)) continue
-      if (within !== undefined && !isInPools(this.choosable.pool, within, endpoint)) continue
+      if (within !== undefined && !isInPools(this.scope.pool, within, endpoint)) continue
       this.found.add(endpoint)
       missing -= 1
     }
   }
 
   private isSelectable (endpoint: EndpointState): boolean {
-    return !this.found.has(endpoint) && canAccept(this.demand, endpoint) && this.choosable.isAllowed(endpoint)
+    return !this.found.has(endpoint) && canAccept(this.request, endpoint) && this.scope.isAllowed(endpoint)
   }
 }
--- a/routing/balancer/src/choose.ts
+++ b/routing/balancer/src/choose.ts
@@ -1,5 +1,7 @@
 /** Chooses an endpoint: each candidate gets a cost in ms, and the candidate with the lowest cost is chosen. */
-import { distanceCostMs, hasLinkCapacity, crossRegionChoiceOf, findPerRegion, hasReservedInRegion, type RegionContext, type CrossRegionChoice } from './cross-region.ts'
+import {
+  distanceCostMs, hasLinkCapacity, crossRegionChoiceOf, findPerRegion, hasReservedInRegion, type RegionContext, type CrossRegionChoice
+} from './cross-region.ts'
 import { fitsMemory, memoryUtilisationPenalty, type RequestSize } from './engine-memory.ts'
 import { type EndpointState } from './endpoint-state.ts'
 import { type PromptPart } from './prefix-cache-model.ts'
@@ -112,17 +114,17 @@
 }
 
 /** From this multiple of the target, the estimated probability of a late first event rises from 0. */
-const LATE_FROM_TARGETS = 0.6
+const LATE_RISK_FROM_TARGETS = 0.6
 /** At this multiple of the target, that probability reaches 1. Predictions are too short when many entries send at the same time. */
-const LATE_AT_TARGETS = 1.2
+const LATE_CERTAIN_AT_TARGETS = 1.2
 /** Streams with a lower pause sensitivity are not co-located: prefill hardly delays them. */
-const STRAINED = 0.3
+const MIN_COLOCATED_SENSITIVITY = 0.3
 /** An engine with a larger share of taken slots is avoided: requests sent by other entries meanwhile are not counted yet. */
-const CROWDED_SLOTS = 0.6
+const PENALTY_FROM_SLOT_SHARE = 0.6
 /** The share of an engine's slots that is filled. Beyond it the engine would preempt requests for more urgent ones. */
-const USABLE_SLOTS = 0.95
+const USABLE_SLOT_SHARE = 0.95
 /** The prefill of this many tokens fits into one engine step, which doesn't interrupt streams. */
-const HARMLESS_TOKENS = 1000
+const SINGLE_STEP_TOKENS = 1000
 
 /** A shared prefix with fewer tokens is neither copied nor reported to other entries. */
 export const MIN_COPY_TOKENS = 1000
@@ -148,53 +150,53 @@
 }
 
 /** How many tokens of a prompt an endpoint has cached. */
-interface Holding {
+interface CachedPrefix {
   endpoint: EndpointState
   tokens: number
 }
 
 /** Chooses the endpoint with the lowest cost; undefined if no endpoint can accept the request. */
 export function choose (
-  demand: ChoiceRequest, endpoints: readonly EndpointState[], now: number, weights = DEFAULT_WEIGHTS
+  request: ChoiceRequest, endpoints: readonly EndpointState[], now: number, weights = DEFAULT_WEIGHTS
 ): Candidate | undefined {
-  const candidates = scoreEndpoints(demand, endpoints, now, weights)
+  const candidates = scoreEndpoints(request, endpoints, now, weights)
   const chosen = candidates.reduce<Candidate | undefined>((best, candidate) => (
     best === undefined || candidate.cost < best.cost ? candidate : best
   ), undefined)
-  return chosen === undefined ? undefined : { ...chosen, crossRegion: crossRegionChoiceOf(demand, chosen, candidates) }
+  return chosen === undefined ? undefined : { ...chosen, crossRegion: crossRegionChoiceOf(request, chosen, candidates) }
 }
 
 /** Returns the cost of every endpoint that can accept the request. */
 export function scoreEndpoints (
-  demand: ChoiceRequest, endpoints: readonly EndpointState[], now: number, weights = DEFAULT_WEIGHTS
+  request: ChoiceRequest, endpoints: readonly EndpointState[], now: number, weights = DEFAULT_WEIGHTS
 ): Candidate[] {
-  const { prompt, copySources, isAffinityTrusted } = demand
-  const homeNear = findPerRegion(demand, demand.affinityEndpoints ?? endpoints, (group) => (
-    demand.affinityEndpoints === undefined ? affinityEndpointFor(demand, group) : group[0]
+  const { prompt, copySources, isAffinityTrusted } = request
+  const affinityEndpointNear = findPerRegion(request, request.affinityEndpoints ?? endpoints, (group) => (
+    request.affinityEndpoints === undefined ? affinityEndpointFor(request, group) : group[0]
   ))
-  const holdings = endpoints.map((endpoint) => ({ endpoint, tokens: endpoint.prefixCache.cachedTokens(prompt) }))
-  const sourceNear = findPerRegion(demand, copySources, (group) => bestSource(prompt, group, now))
-  const shared = sharedPrefixTokens(prompt)
+  const cachedPrefixes = endpoints.map((endpoint) => ({ endpoint, tokens: endpoint.prefixCache.cachedTokens(prompt) }))
+  const sourceNear = findPerRegion(request, copySources, (group) => bestSource(prompt, group, now))
+  const sharedTokens = sharedPrefixTokens(prompt)
   const total = tokensOf(prompt)
-  return holdings.filter(({ endpoint }) => canAccept(demand, endpoint)).map(({ endpoint, tokens }): Candidate => {
-    const isHome = endpoint === homeNear(endpoint)
+  return cachedPrefixes.filter(({ endpoint }) => canAccept(request, endpoint)).map(({ endpoint, tokens }): Candidate => {
+    const isAffinityEndpoint = endpoint === affinityEndpointNear(endpoint)
     const best = sourceNear(endpoint)
-    const kept = Math.max(tokens, isHome && isAffinityTrusted ? shared : 0)
+    const cachedTokens = Math.max(tokens, isAffinityEndpoint && isAffinityTrusted ? sharedTokens : 0)
     const source = best !== undefined && best.endpoint !== endpoint && best.tokens >= tokens + MIN_COPY_TOKENS ? best : undefined
-    const copiedTokens = Math.max(0, (source?.tokens ?? 0) - kept)
-    const unreadTokens = total - kept - copiedTokens
-    const toRead = unreadTokens + pendingTokens(endpoint, demand, now)
-    const urgency = urgencyOf({ tier: demand.tier, unreadTokens: toRead, isResumed: demand.isResumed })
+    const copiedTokens = Math.max(0, (source?.tokens ?? 0) - cachedTokens)
+    const unreadTokens = total - cachedTokens - copiedTokens
+    const tokensToPrefill = unreadTokens + pendingTokens(endpoint, request, now)
+    const urgency = urgencyOf({ tier: request.tier, unreadTokens: tokensToPrefill, isResumed: request.isResumed })
     const { tokensPerMs } = endpoint.prefill
     const aheadMs = endpoint.tokensAhead(urgency) / tokensPerMs
     const waitMs = unreadTokens / tokensPerMs + aheadMs
     const cost = weights.prefillWeight * unreadTokens / tokensPerMs +
       weights.copyWeight * copiedTokens / tokensPerMs +
-      (isHome || tokens > 0 ? 0 : weights.notAffinity) +
-      aheadMs + weights.lateFirstEvent * lateShare(waitMs, demand.targetMs) +
-      weights.delayedStream * spoiltStreams(endpoint, unreadTokens) +
-      loadCost(endpoint, demand, now, weights)
-    return { endpoint, isAffinityEndpoint: isHome, unreadTokens, urgency, copiedTokens, source: source?.endpoint, waitMs, cost }
+      (isAffinityEndpoint || tokens > 0 ? 0 : weights.notAffinity) +
+      aheadMs + weights.lateFirstEvent * lateProbability(waitMs, request.targetMs) +
+      weights.delayedStream * delayedStreams(endpoint, unreadTokens) +
+      loadCost(endpoint, request, now, weights)
+    return { endpoint, isAffinityEndpoint, unreadTokens, urgency, copiedTokens, source: source?.endpoint, waitMs, cost }
   })
 }
 
@@ -210,9 +212,9 @@
  * Whether an endpoint can accept the request: the request wasn't sent there before, the link to its region has capacity, and
  * an engine has a slot and memory for it. Requests of tier 0 and resumed streams go first, and need neither slot nor memory.
  */
-export function canAccept (demand: ChoiceRequest, endpoint: EndpointState): boolean {
-  const { excluded, needsSlot, tier, isResumed, size } = demand
-  if (!hasLinkCapacity(demand, endpoint)) return false
+export function canAccept (request: ChoiceRequest, endpoint: EndpointState): boolean {
+  const { excluded, needsSlot, tier, isResumed, size } = request
+  if (!hasLinkCapacity(request, endpoint)) return false
   if (excluded.has(endpoint.description.incarnation)) return false
   const goesFirst = tier === 0 || isResumed
   if (!needsSlot || goesFirst) return true
@@ -221,24 +223,24 @@
 
 /** Whether an engine has a free slot for a request that doesn't go first. */
 export function hasFreeSlot (endpoint: EndpointState): boolean {
-  return takenSlots(endpoint) < USABLE_SLOTS
+  return takenSlotShare(endpoint) < USABLE_SLOT_SHARE
 }
 
 /** Returns the share of taken slots; 0 if the endpoint doesn't report how many slots it has. */
-function takenSlots ({ description: { slots }, running }: EndpointState): number {
+function takenSlotShare ({ description: { slots }, running }: EndpointState): number {
   return slots > 0 ? running / slots : 0
 }
 
 /** Estimates the probability, from 0 to 1, that a first event predicted after `waitMs` misses its target. */
-function lateShare (waitMs: number, targetMs: number): number {
+function lateProbability (waitMs: number, targetMs: number): number {
   if (targetMs <= 0) return 0
-  return Math.min(1, Math.max(0, (waitMs / targetMs - LATE_FROM_TARGETS) / (LATE_AT_TARGETS - LATE_FROM_TARGETS)))
+  return Math.min(1, Math.max(0, (waitMs / targetMs - LATE_RISK_FROM_TARGETS) / (LATE_CERTAIN_AT_TARGETS - LATE_RISK_FROM_TARGETS)))
 }
 
 /** Estimates the sum of the pause sensitivities of the streams that the prefill of some tokens and of the backlog delays. */
-function spoiltStreams ({ pauseSensitivity, prefill, backlogTokens }: EndpointState, unreadTokens: number): number {
-  const readMs = (backlogTokens + unreadTokens) / prefill.tokensPerMs
-  return pauseSensitivity * delayedStreamShare(readMs) * Math.min(1, unreadTokens / HARMLESS_TOKENS)
+function delayedStreams ({ pauseSensitivity, prefill, backlogTokens }: EndpointState, unreadTokens: number): number {
+  const prefillMs = (backlogTokens + unreadTokens) / prefill.tokensPerMs
+  return pauseSensitivity * delayedStreamShare(prefillMs) * Math.min(1, unreadTokens / SINGLE_STEP_TOKENS)
 }
 
 /** Returns the id of the deepest prompt part that other requests share; that of the only part if there is just one. */
@@ -255,52 +257,54 @@
   return prompt.reduce((tokens, part) => tokens + part.tokens, 0)
 }
 
-/** Returns the affinity endpoint of a prompt. */
-export function affinityEndpointFor (demand: ChoiceRequest, endpoints: readonly EndpointState[]): EndpointState | undefined {
-  return homeOf(demand.prompt, homesFor(demand, endpoints))
+/** Returns the affinity endpoint of a prompt among some endpoints. */
+export function affinityEndpointFor (request: ChoiceRequest, endpoints: readonly EndpointState[]): EndpointState | undefined {
+  return selectAffinityEndpoint(request.prompt, affinityCandidates(request, endpoints))
 }
 
-function homeOf (prompt: readonly PromptPart[], endpoints: readonly EndpointState[]): EndpointState | undefined {
-  const subject = sharedPrefixIdOf(prompt)
-  return subject === undefined ? undefined : selectByRendezvous(subject, endpoints, (endpoint) => endpoint.description.incarnation)
+function selectAffinityEndpoint (prompt: readonly PromptPart[], endpoints: readonly EndpointState[]): EndpointState | undefined {
+  const sharedPrefixId = sharedPrefixIdOf(prompt)
+  return sharedPrefixId === undefined
+    ? undefined
+    : selectByRendezvous(sharedPrefixId, endpoints, (endpoint) => endpoint.description.incarnation)
 }
 
 /** Returns the healthy endpoint from which the longest prefix of the prompt can be copied. */
-function bestSource (prompt: readonly PromptPart[], endpoints: readonly EndpointState[], now: number): Holding | undefined {
-  let best: Holding | undefined
+function bestSource (prompt: readonly PromptPart[], endpoints: readonly EndpointState[], now: number): CachedPrefix | undefined {
+  let best: CachedPrefix | undefined
   for (const endpoint of endpoints) {
     const tokens = endpoint.prefixCache.copyableTokens(prompt, now)
-    const answers = !isSuspect(endpoint, now) && endpoint.othersLoad.unreachable === 0
-    if (answers && tokens > (best?.tokens ?? 0)) best = { endpoint, tokens }
+    const isHealthy = !isUnhealthy(endpoint, now) && endpoint.othersLoad.unreachable === 0
+    if (isHealthy && tokens > (best?.tokens ?? 0)) best = { endpoint, tokens }
   }
   return best
 }
 
-function isSuspect (endpoint: EndpointState, now: number): boolean {
+function isUnhealthy (endpoint: EndpointState, now: number): boolean {
   return endpoint.isEjected(now) || endpoint.isSilent(now)
 }
 
 /** Returns the part of the cost that depends neither on the tokens to prefill or to copy nor on the backlog. */
-function loadCost (endpoint: EndpointState, demand: ChoiceRequest, now: number, weights: ChoiceWeights): number {
-  const distance = distanceCostMs(demand, endpoint, weights.otherDataCentre)
+function loadCost (endpoint: EndpointState, request: ChoiceRequest, now: number, weights: ChoiceWeights): number {
+  const distance = distanceCostMs(request, endpoint, weights.otherDataCentre)
   const failures = endpoint.failureShare * weights.failures + endpoint.unreachableShare * weights.unreachable +
-    (demand.isSingleAttempt === true ? weights.failuresSingleAttempt * endpoint.outcomes.excessFailureShareAt(now) : 0)
-  const suspicion = isSuspect(endpoint, now) ? weights.unhealthy : 0
-  return weights.perRunningRequest * endpoint.running + streamCost(endpoint, demand, weights) + crowdingCost(endpoint, weights) +
-    memoryCost(endpoint, demand, weights) +
-    reservationCost(endpoint, demand, weights) + distance + failures + suspicion
+    (request.isSingleAttempt === true ? weights.failuresSingleAttempt * endpoint.outcomes.excessFailureShareAt(now) : 0)
+  const unhealthyCost = isUnhealthy(endpoint, now) ? weights.unhealthy : 0
+  return weights.perRunningRequest * endpoint.running + streamCost(endpoint, request, weights) + slotUtilisationCost(endpoint, weights) +
+    memoryCost(endpoint, request, weights) +
+    reservationCost(endpoint, request, weights) + distance + failures + unhealthyCost
 }
 
 /** Returns the endpoints for rendezvous hashing: reserved engines for pause-sensitive streams, the others otherwise. */
-function homesFor ({ isPauseSensitive, reserved }: ChoiceRequest, endpoints: readonly EndpointState[]): readonly EndpointState[] {
+function affinityCandidates ({ isPauseSensitive, reserved }: ChoiceRequest, endpoints: readonly EndpointState[]): readonly EndpointState[] {
   if (reserved.size === 0) return endpoints
-  const homes = endpoints.filter((endpoint) => reserved.has(endpoint) === isPauseSensitive)
-  return homes.length > 0 ? homes : endpoints
+  const candidates = endpoints.filter((endpoint) => reserved.has(endpoint) === isPauseSensitive)
+  return candidates.length > 0 ? candidates : endpoints
 }
 
-function reservationCost (endpoint: EndpointState, demand: ChoiceRequest, weights: ChoiceWeights): number {
-  const { isPauseSensitive, reserved } = demand
-  if (reserved.size === 0 || reserved.has(endpoint) === isPauseSensitive || !hasReservedInRegion(demand, endpoint)) return 0
+function reservationCost (endpoint: EndpointState, request: ChoiceRequest, weights: ChoiceWeights): number {
+  const { isPauseSensitive, reserved } = request
+  if (reserved.size === 0 || reserved.has(endpoint) === isPauseSensitive || !hasReservedInRegion(request, endpoint)) return 0
   return isPauseSensitive ? weights.notReserved : weights.reserved
 }
 
@@ -309,11 +313,11 @@
  * then free for prefill.
  */
 function streamCost (
-  { prefill, pauseSensitivity: strainThere }: EndpointState, { maxPauseMs }: ChoiceRequest, weights: ChoiceWeights
+  { prefill, pauseSensitivity: engineSensitivity }: EndpointState, { maxPauseMs }: ChoiceRequest, weights: ChoiceWeights
 ): number {
-  const strain = pauseSensitivityOf(maxPauseMs, prefill.pauseMs)
-  const company = strain > STRAINED ? weights.streamColocation * strainThere : 0
-  return weights.streamBesidePrefill * strain * prefill.busyShare - company
+  const sensitivity = pauseSensitivityOf(maxPauseMs, prefill.pauseMs)
+  const colocationReduction = sensitivity > MIN_COLOCATED_SENSITIVITY ? weights.streamColocation * engineSensitivity : 0
+  return weights.streamBesidePrefill * sensitivity * prefill.busyShare - colocationReduction
 }
 
 /** Rises with the square of the memory utilisation that the request would cause. */
@@ -322,7 +326,7 @@
 }
 
 /** Rises with the square of the slot utilisation, up to the weight when no slot is free. */
-function crowdingCost (endpoint: EndpointState, weights: ChoiceWeights): number {
-  const crowding = Math.max(0, (takenSlots(endpoint) - CROWDED_SLOTS) / (1 - CROWDED_SLOTS))
-  return weights.fullSlots * crowding ** 2
+function slotUtilisationCost (endpoint: EndpointState, weights: ChoiceWeights): number {
+  const excess = Math.max(0, (takenSlotShare(endpoint) - PENALTY_FROM_SLOT_SHARE) / (1 - PENALTY_FROM_SLOT_SHARE))
+  return weights.fullSlots * excess ** 2
 }
--- a/routing/balancer/src/cross-region.ts
+++ b/routing/balancer/src/cross-region.ts
@@ -35,38 +35,38 @@
   return regions?.regionOf(description.dataCentre) ?? ''
 }
 
-function isOtherRegion (demand: ChoiceRequest, endpoint: EndpointState): boolean {
-  return demand.regions !== undefined && regionOf(demand, endpoint) !== demand.regions.regionOf(demand.dataCentre)
+function isOtherRegion (request: ChoiceRequest, endpoint: EndpointState): boolean {
+  return request.regions !== undefined && regionOf(request, endpoint) !== request.regions.regionOf(request.dataCentre)
 }
 
 /** Whether an endpoint is in the request's own region, or the link to other regions has capacity for the request. */
-export function hasLinkCapacity (demand: ChoiceRequest, endpoint: EndpointState): boolean {
-  return demand.regions?.crossRegionCostMs !== undefined || !isOtherRegion(demand, endpoint)
+export function hasLinkCapacity (request: ChoiceRequest, endpoint: EndpointState): boolean {
+  return request.regions?.crossRegionCostMs !== undefined || !isOtherRegion(request, endpoint)
 }
 
 /** Returns the cost of the distance to an endpoint, in ms. */
-export function distanceCostMs (demand: ChoiceRequest, endpoint: EndpointState, otherDataCentreMs: number): number {
-  if (endpoint.description.dataCentre === demand.dataCentre) return 0
-  return isOtherRegion(demand, endpoint) ? CROSS_REGION_MS + (demand.regions?.crossRegionCostMs ?? 0) : otherDataCentreMs
+export function distanceCostMs (request: ChoiceRequest, endpoint: EndpointState, otherDataCentreMs: number): number {
+  if (endpoint.description.dataCentre === request.dataCentre) return 0
+  return isOtherRegion(request, endpoint) ? CROSS_REGION_MS + (request.regions?.crossRegionCostMs ?? 0) : otherDataCentreMs
 }
 
 /**
  * Whether engines are reserved in the region of an endpoint. Without a reservation in their own region, streams must not prefer the
  * reserved engines of another region: their own region would then have no such streams, and would never reserve an engine.
  */
-export function hasReservedInRegion (demand: ChoiceRequest, endpoint: EndpointState): boolean {
-  if (demand.regions === undefined) return demand.reserved.size > 0
-  const region = regionOf(demand, endpoint)
-  for (const reserved of demand.reserved) if (regionOf(demand, reserved) === region) return true
+export function hasReservedInRegion (request: ChoiceRequest, endpoint: EndpointState): boolean {
+  if (request.regions === undefined) return request.reserved.size > 0
+  const region = regionOf(request, endpoint)
+  for (const reserved of request.reserved) if (regionOf(request, reserved) === region) return true
   return false
 }
 
 /** Groups endpoints by region; there is one group if the deployment has one region. */
-export function groupByRegion (demand: ChoiceRequest, endpoints: readonly EndpointState[]): Map<string, readonly EndpointState[]> {
-  if (demand.regions === undefined) return new Map([['', endpoints]])
+export function groupByRegion (request: ChoiceRequest, endpoints: readonly EndpointState[]): Map<string, readonly EndpointState[]> {
+  if (request.regions === undefined) return new Map([['', endpoints]])
   const groups = new Map<string, EndpointState[]>()
   for (const endpoint of endpoints) {
-    const region = regionOf(demand, endpoint)
+    const region = regionOf(request, endpoint)
     const group = groups.get(region)
     if (group === undefined) groups.set(region, [endpoint])
     else group.push(endpoint)
@@ -76,21 +76,21 @@
 
 /** Computes a value once for each region; the returned function gives the value for the region of an endpoint. */
 export function findPerRegion<T> (
-  demand: ChoiceRequest, endpoints: readonly EndpointState[], find: (group: readonly EndpointState[]) => T
+  request: ChoiceRequest, endpoints: readonly EndpointState[], find: (group: readonly EndpointState[]) => T
 ): (endpoint: EndpointState) => T | undefined {
-  const found = new Map([...groupByRegion(demand, endpoints)].map(([region, group]) => [region, find(group)]))
-  return (endpoint) => found.get(regionOf(demand, endpoint))
+  const values = new Map([...groupByRegion(request, endpoints)].map(([region, group]) => [region, find(group)]))
+  return (endpoint) => values.get(regionOf(request, endpoint))
 }
 
 /** Explains the choice of an endpoint in another region; undefined if the request stays in its own region. */
 export function crossRegionChoiceOf (
-  demand: ChoiceRequest, chosen: Candidate, candidates: readonly Candidate[]
+  request: ChoiceRequest, chosen: Candidate, candidates: readonly Candidate[]
 ): CrossRegionChoice | undefined {
-  if (!isOtherRegion(demand, chosen.endpoint)) return undefined
-  const localCosts = candidates.filter(({ endpoint }) => !isOtherRegion(demand, endpoint)).map(({ cost }) => cost)
+  if (!isOtherRegion(request, chosen.endpoint)) return undefined
+  const localCosts = candidates.filter(({ endpoint }) => !isOtherRegion(request, endpoint)).map(({ cost }) => cost)
   return {
-    region: regionOf(demand, chosen.endpoint),
-    costMs: CROSS_REGION_MS + (demand.regions?.crossRegionCostMs ?? 0),
+    region: regionOf(request, chosen.endpoint),
+    costMs: CROSS_REGION_MS + (request.regions?.crossRegionCostMs ?? 0),
     localCost: localCosts.length === 0 ? undefined : Math.min(...localCosts)
   }
 }
--- a/routing/balancer/src/endpoint-pool.ts
+++ b/routing/balancer/src/endpoint-pool.ts
@@ -20,55 +20,55 @@
   readonly totals = new EngineTotals()
   /** Increases with every change of the members. */
   version = 0
-  private readonly placesByName = new Map<string, DataCentrePool>()
-  private readonly placeOfMember = new Map<EndpointState, DataCentrePool>()
+  private readonly poolsByDataCentre = new Map<string, DataCentrePool>()
+  private readonly poolOfMember = new Map<EndpointState, DataCentrePool>()
 
   get size (): number {
-    return this.placeOfMember.size
+    return this.poolOfMember.size
   }
 
   get dataCentrePools (): IterableIterator<DataCentrePool> {
-    return this.placesByName.values()
+    return this.poolsByDataCentre.values()
   }
 
   /** Returns the pool of the data centre that a member belongs to; undefined if the endpoint is no member. */
   dataCentrePoolOf (endpoint: EndpointState): DataCentrePool | undefined {
-    return this.placeOfMember.get(endpoint)
+    return this.poolOfMember.get(endpoint)
   }
 
   /** Whether an endpoint is a member, in the data centre of its present description. */
   isInCurrentDataCentre (endpoint: EndpointState): boolean {
-    return this.placeOfMember.get(endpoint)?.dataCentre === endpoint.description.dataCentre
+    return this.poolOfMember.get(endpoint)?.dataCentre === endpoint.description.dataCentre
   }
 
   add (endpoint: EndpointState): void {
-    if (this.placeOfMember.has(endpoint)) return
-    const place = this.placeNamed(endpoint.description.dataCentre)
-    for (const list of [this.members, this.byReservationRank, place.members, place.affinityRing]) list.add(endpoint)
-    this.placeOfMember.set(endpoint, place)
+    if (this.poolOfMember.has(endpoint)) return
+    const pool = this.poolForDataCentre(endpoint.description.dataCentre)
+    for (const list of [this.members, this.byReservationRank, pool.members, pool.affinityRing]) list.add(endpoint)
+    this.poolOfMember.set(endpoint, pool)
     this.totals.update(endpoint)
     this.version += 1
   }
 
   remove (endpoint: EndpointState): void {
-    const place = this.placeOfMember.get(endpoint)
-    if (place === undefined) return
-    for (const list of [this.members, this.byReservationRank, place.members, place.affinityRing]) list.remove(endpoint)
-    this.placeOfMember.delete(endpoint)
+    const pool = this.poolOfMember.get(endpoint)
+    if (pool === undefined) return
+    for (const list of [this.members, this.byReservationRank, pool.members, pool.affinityRing]) list.remove(endpoint)
+    this.poolOfMember.delete(endpoint)
     this.totals.remove(endpoint)
-    if (place.members.items.length === 0) this.placesByName.delete(place.dataCentre)
+    if (pool.members.items.length === 0) this.poolsByDataCentre.delete(pool.dataCentre)
     this.version += 1
   }
 
-  private placeNamed (dataCentre: string): DataCentrePool {
-    const known = this.placesByName.get(dataCentre)
+  private poolForDataCentre (dataCentre: string): DataCentrePool {
+    const known = this.poolsByDataCentre.get(dataCentre)
     if (known !== undefined) return known
-    const place: DataCentrePool = {
+    const pool: DataCentrePool = {
       dataCentre,
       members: new SortedList((endpoint) => endpoint.registrationOrder),
       affinityRing: new SortedList((endpoint) => endpoint.affinityPoint)
     }
-    this.placesByName.set(dataCentre, place)
-    return place
+    this.poolsByDataCentre.set(dataCentre, pool)
+    return pool
   }
 }
--- a/routing/balancer/src/endpoint-state.ts
+++ b/routing/balancer/src/endpoint-state.ts
@@ -18,13 +18,13 @@
 /** An endpoint with requests in flight counts as silent after this time without a byte from it, in ms. */
 const SILENT_MS = 1200
 /** An engine may send nothing during prefill. The time until it counts as silent allows for prefill at this low speed. */
-const SLOWEST_READ_TOKENS_PER_MS = 8
+const MIN_PREFILL_TOKENS_PER_MS = 8
 /** The share of an engine's memory that is assumed to hold cached prompt parts; running requests need the rest. */
 const CACHE_SHARE = 0.6
 const DEFAULT_MEMORY_TOKENS = 400_000
 
 /** The prefill of a prompt counts as complete this long after the prefill of the backlog at the time of sending, in ms. */
-const READ_WITHIN_MS = 600
+const PREFILL_MARGIN_MS = 600
 
 /** One attempt in flight. */
 export interface InFlightRequest {
@@ -105,11 +105,11 @@
 }
 
 /** A salt that makes the point on the affinity ring independent of the reservation rank. */
-const HOME_SALT = 'home '
+const AFFINITY_SALT = 'home '
 
-const NOTHING: RequestSize = { ownTokens: 0, sharedPrefixId: undefined, sharedTokens: 0 }
+const NO_REQUEST: RequestSize = { ownTokens: 0, sharedPrefixId: undefined, sharedTokens: 0 }
 
-let created = 0
+let createdCount = 0
 
 export class EndpointState {
   readonly prefixCache: PrefixCacheModel
@@ -133,7 +133,7 @@
   /** Its point on the affinity ring. */
   readonly affinityPoint: number
   /** The number of endpoints that became known before it. */
-  readonly registrationOrder = created++
+  readonly registrationOrder = createdCount++
   private ejectedUntil = -Infinity
   private ejections = 0
 
@@ -142,7 +142,7 @@
     public description: EndpointDescription, public memoryTokens = DEFAULT_MEMORY_TOKENS, private readonly watcher?: EndpointWatcher
   ) {
     this.reservationRank = hashName(description.incarnation)
-    this.affinityPoint = hashName(HOME_SALT + description.incarnation)
+    this.affinityPoint = hashName(AFFINITY_SALT + description.incarnation)
     this.prefixCache = new PrefixCacheModel(memoryTokens * CACHE_SHARE, {
       onCached: (part) => watcher?.onPartCached(this, part),
       onEvicted: (part) => watcher?.onPartEvicted(this, part)
@@ -166,8 +166,8 @@
   /** Returns the tokens of the backlog whose prefill goes before or along with a request of some urgency. */
   tokensAhead (urgency: number): number {
     let tokens = 0
-    for (const work of this.inFlightRequests) {
-      if (!work.hasFirstEvent && work.urgency <= urgency) tokens += work.unreadTokens
+    for (const request of this.inFlightRequests) {
+      if (!request.hasFirstEvent && request.urgency <= urgency) tokens += request.unreadTokens
     }
     for (const unread of this.othersLoad.unread) {
       if (unread.urgency <= urgency) tokens += unread.tokens
@@ -186,9 +186,9 @@
 
   /** The sum of the pause sensitivities of this entry's streams at the endpoint. */
   get ownPauseSensitivity (): number {
-    let strain = 0
-    for (const work of this.inFlightRequests) strain += work.pauseSensitivity
-    return strain
+    let sum = 0
+    for (const request of this.inFlightRequests) sum += request.pauseSensitivity
+    return sum
   }
 
   /** The sum of the pause sensitivities of all entries' streams at the endpoint. */
@@ -199,7 +199,7 @@
   /** The number of this entry's pause-sensitive streams at the endpoint. */
   get ownPauseSensitiveStreams (): number {
     let count = 0
-    for (const work of this.inFlightRequests) if (work.isPauseSensitive) count += 1
+    for (const request of this.inFlightRequests) if (request.isPauseSensitive) count += 1
     return count
   }
 
@@ -210,15 +210,15 @@
 
   /** The share of its memory that the requests of all entries will take. */
   get memoryShare (): number {
-    return this.memoryShareWith(NOTHING)
+    return this.memoryShareWith(NO_REQUEST)
   }
 
   /** Returns the share of its memory that the requests of all entries will take together with one more. */
   memoryShareWith (size: RequestSize): number {
     if (this.memoryTokens <= 0) return 0
     const others = this.othersLoad.memory ?? NO_MEMORY_USE
-    const isKept = size.sharedPrefixId !== undefined && this.prefixCache.has(size.sharedPrefixId)
-    return (this.memory.tokensWith(others) + this.memory.tokensAddedBy(size, others, isKept)) / this.memoryTokens
+    const isCached = size.sharedPrefixId !== undefined && this.prefixCache.has(size.sharedPrefixId)
+    return (this.memory.tokensWith(others) + this.memory.tokensAddedBy(size, others, isCached)) / this.memoryTokens
   }
 
   /**
@@ -235,7 +235,7 @@
     const promptTokens = prompt.reduce((tokens, part) => tokens + part.tokens, 0)
     const aheadTokens = this.tokensAhead(urgency)
     const size = requestSizeOf(prompt, outputTokens)
-    const work: InFlightRequest = {
+    const request: InFlightRequest = {
       startedAt: now,
       unreadTokens,
       urgency,
@@ -246,12 +246,12 @@
       hasFirstEvent: false,
       lastEventAt: now
     }
-    this.inFlightRequests.add(work)
-    this.sizes.set(work, size)
+    this.inFlightRequests.add(request)
+    this.sizes.set(request, size)
     this.memory.add(size)
     this.watcher?.onRequestStarted(this)
     this.recordCached(prompt, now)
-    return work
+    return request
   }
 
   /**
@@ -259,27 +259,27 @@
    * backlog and of the parts is complete.
    */
   recordCached (parts: readonly PromptPart[], now: number): void {
-    this.prefixCache.record(parts, now + READ_WITHIN_MS + this.backlogTokens / this.prefill.tokensPerMs)
+    this.prefixCache.record(parts, now + PREFILL_MARGIN_MS + this.backlogTokens / this.prefill.tokensPerMs)
   }
 
   /** Records that events of an attempt have arrived. */
-  recordEvents (work: InFlightRequest, now: number): void {
-    const sinceLast = now - work.lastEventAt
-    if (work.hasFirstEvent) this.prefill.recordPause(sinceLast, work.lastEventAt)
-    else this.prefill.recordPrefill({ tokens: work.unreadTokens, aheadTokens: work.aheadTokens, tookMs: sinceLast })
-    work.hasFirstEvent = true
-    work.lastEventAt = now
+  recordEvents (request: InFlightRequest, now: number): void {
+    const sinceLast = now - request.lastEventAt
+    if (request.hasFirstEvent) this.prefill.recordPause(sinceLast, request.lastEventAt)
+    else this.prefill.recordPrefill({ tokens: request.unreadTokens, aheadTokens: request.aheadTokens, tookMs: sinceLast })
+    request.hasFirstEvent = true
+    request.lastEventAt = now
   }
 
-  end (work: InFlightRequest, verdict: AttemptVerdict, now: number): void {
-    this.inFlightRequests.delete(work)
-    this.release(work)
+  end (request: InFlightRequest, verdict: AttemptVerdict, now: number): void {
+    this.inFlightRequests.delete(request)
+    this.release(request)
     if (verdict === 'neutral') return
     if (verdict === 'good' || verdict === 'failed') this.outcomes.record(verdict === 'good')
     const failed = verdict === 'good' ? 0 : 1
     this.failureShare += FAILURE_WEIGHT * (failed - this.failureShare)
     if (verdict === 'unreachable') this.eject(now)
-    if (verdict === 'ended') this.noteEnded()
+    if (verdict === 'ended') this.markEnded()
     if (verdict === 'good') this.ejections = 0
   }
 
@@ -303,28 +303,28 @@
   isSilent (now: number): boolean {
     let oldest = Infinity
     let promptTokens = 0
-    for (const work of this.inFlightRequests) {
-      oldest = Math.min(oldest, work.startedAt)
-      if (!work.hasFirstEvent) promptTokens += work.promptTokens
+    for (const request of this.inFlightRequests) {
+      oldest = Math.min(oldest, request.startedAt)
+      if (!request.hasFirstEvent) promptTokens += request.promptTokens
     }
-    return now - Math.max(this.lastReceivedAt, oldest) > SILENT_MS + promptTokens / SLOWEST_READ_TOKENS_PER_MS
+    return now - Math.max(this.lastReceivedAt, oldest) > SILENT_MS + promptTokens / MIN_PREFILL_TOKENS_PER_MS
   }
 
-  private release (work: InFlightRequest): void {
-    const size = this.sizes.get(work)
+  private release (request: InFlightRequest): void {
+    const size = this.sizes.get(request)
     if (size === undefined) return
-    this.sizes.delete(work)
+    this.sizes.delete(request)
     this.memory.remove(size)
   }
 
-  private noteEnded (): void {
+  private markEnded (): void {
     this.hasEnded = true
     this.watcher?.onEnded(this)
   }
 
   private eject (now: number): void {
-    const pause = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** this.ejections)
+    const ejectionMs = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** this.ejections)
     this.ejections += 1
-    this.ejectedUntil = now + pause
+    this.ejectedUntil = now + ejectionMs
   }
 }
--- a/routing/balancer/src/engine-memory.ts
+++ b/routing/balancer/src/engine-memory.ts
@@ -73,7 +73,7 @@
 
 /** The memory that the requests of this entry take at one engine. */
 export class InFlightMemory {
-  private readonly subjects = new Map<string, PrefixUse>()
+  private readonly prefixes = new Map<string, PrefixUse>()
   private ownTokens = 0
   /** The summary of the shared prefixes, cached until they change, since each choice needs it for many engines. */
   private summary: Summary | undefined
@@ -81,33 +81,33 @@
   add ({ ownTokens, sharedPrefixId, sharedTokens }: RequestSize): void {
     this.ownTokens += ownTokens
     if (sharedPrefixId === undefined) return
-    const requests = (this.subjects.get(sharedPrefixId)?.requests ?? 0) + 1
-    this.subjects.set(sharedPrefixId, { tokens: sharedTokens, requests })
+    const requests = (this.prefixes.get(sharedPrefixId)?.requests ?? 0) + 1
+    this.prefixes.set(sharedPrefixId, { tokens: sharedTokens, requests })
     this.summary = undefined
   }
 
   remove ({ ownTokens, sharedPrefixId }: RequestSize): void {
     this.ownTokens -= ownTokens
-    const known = sharedPrefixId === undefined ? undefined : this.subjects.get(sharedPrefixId)
+    const known = sharedPrefixId === undefined ? undefined : this.prefixes.get(sharedPrefixId)
     if (sharedPrefixId === undefined || known === undefined) return
     known.requests -= 1
-    if (known.requests === 0) this.subjects.delete(sharedPrefixId)
+    if (known.requests === 0) this.prefixes.delete(sharedPrefixId)
     this.summary = undefined
   }
 
   /** The summary that is sent to other entries. */
   get use (): MemoryUse {
     const use = { tokens: this.ownTokens, sharedTokens: 0, sharing: 0 }
-    for (const { tokens, requests } of this.subjects.values()) {
+    for (const { tokens, requests } of this.prefixes.values()) {
       use.sharedTokens += requests * tokens
       use.sharing += requests
     }
-    return { ...use, subjects: this.summed.sketch }
+    return { ...use, subjects: this.currentSummary.sketch }
   }
 
   /** Returns the tokens that these requests and those of other entries take together. */
   tokensWith (others: MemoryUse): number {
-    return this.ownTokens + this.summed.tokens + others.tokens + this.sharedOnlyBy(others)
+    return this.ownTokens + this.currentSummary.tokens + others.tokens + this.sharedOnlyBy(others)
   }
 
   /**
@@ -116,7 +116,7 @@
    * there, a bit of the sketch belongs to another prefix in four of ten cases.
    */
   tokensAddedBy ({ ownTokens, sharedPrefixId, sharedTokens }: RequestSize, others: MemoryUse, isCached: boolean): number {
-    const isPresent = sharedPrefixId === undefined || this.subjects.has(sharedPrefixId) || (
+    const isPresent = sharedPrefixId === undefined || this.prefixes.has(sharedPrefixId) || (
       isCached && hasBit(others.subjects, bitOf(sharedPrefixId))
     )
     return ownTokens + (isPresent ? 0 : sharedTokens)
@@ -125,13 +125,13 @@
   /** Estimates the tokens of other entries' shared prefixes that no request of this entry has. */
   private sharedOnlyBy ({ subjects: [low, high], sharing, sharedTokens }: MemoryUse): number {
     if (sharing === 0) return 0
-    const { sketch, count } = this.summed
-    const subjects = Math.min(sharing, countOf([sketch[0] | low, sketch[1] | high]) - count)
-    return subjects * sharedTokens / sharing
+    const { sketch, count } = this.currentSummary
+    const prefixCount = Math.min(sharing, countOf([sketch[0] | low, sketch[1] | high]) - count)
+    return prefixCount * sharedTokens / sharing
   }
 
-  private get summed (): Summary {
-    this.summary ??= summaryOf(this.subjects)
+  private get currentSummary (): Summary {
+    this.summary ??= summaryOf(this.prefixes)
     return this.summary
   }
 }
@@ -143,13 +143,13 @@
   count: number
 }
 
-function summaryOf (subjects: ReadonlyMap<string, PrefixUse>): Summary {
+function summaryOf (prefixes: ReadonlyMap<string, PrefixUse>): Summary {
   let tokens = 0
   let low = 0
   let high = 0
-  for (const [subject, prefix] of subjects) {
+  for (const [prefixId, prefix] of prefixes) {
     tokens += prefix.tokens
-    const bit = bitOf(subject)
+    const bit = bitOf(prefixId)
     if (bit < WORD_BITS) low |= 1 << bit
     else high |= 1 << (bit - WORD_BITS)
   }
@@ -177,8 +177,8 @@
   return `its prompt and a first token take ${tokens} tokens, and the memory of an engine holds ${memoryTokens}`
 }
 
-function bitOf (subject: string): number {
-  return hashName(subject) % SKETCH_BITS
+function bitOf (prefixId: string): number {
+  return hashName(prefixId) % SKETCH_BITS
 }
 
 function hasBit ([low, high]: readonly [number, number], bit: number): boolean {
@@ -193,6 +193,6 @@
 
 function bitsIn (word: number): number {
   let bits = 0
-  for (let left = word >>> 0; left !== 0; left = (left & (left - 1)) >>> 0) bits += 1
+  for (let remaining = word >>> 0; remaining !== 0; remaining = (remaining & (remaining - 1)) >>> 0) bits += 1
   return bits
 }
--- a/routing/balancer/src/engine-totals.ts
+++ b/routing/balancer/src/engine-totals.ts
@@ -4,47 +4,49 @@
  */
 import { type EndpointState } from './endpoint-state.ts'
 
-interface Counted {
+interface EngineValues {
   slots: number
   pauseMs: number
-  sensitive: number
+  pauseSensitiveStreams: number
 }
 
-const NOTHING: Counted = { slots: 0, pauseMs: 0, sensitive: 0 }
+const ZERO: EngineValues = { slots: 0, pauseMs: 0, pauseSensitiveStreams: 0 }
 
 export class EngineTotals {
-  private readonly counted = new Map<EndpointState, Counted>()
-  private readonly sums: Counted = { ...NOTHING }
+  private readonly valuesByEngine = new Map<EndpointState, EngineValues>()
+  private readonly sums: EngineValues = { ...ZERO }
 
   /** Replaces the values of an engine by its present ones. */
   update (engine: EndpointState): void {
-    const now = { slots: engine.description.slots, pauseMs: engine.prefill.pauseMs, sensitive: engine.pauseSensitiveStreams }
-    this.replace(this.counted.get(engine), now)
-    this.counted.set(engine, now)
+    const current = {
+      slots: engine.description.slots, pauseMs: engine.prefill.pauseMs, pauseSensitiveStreams: engine.pauseSensitiveStreams
+    }
+    this.replace(this.valuesByEngine.get(engine), current)
+    this.valuesByEngine.set(engine, current)
   }
 
   /** Removes an engine that accepts no new requests. */
   remove (engine: EndpointState): void {
-    this.replace(this.counted.get(engine), NOTHING)
-    this.counted.delete(engine)
+    this.replace(this.valuesByEngine.get(engine), ZERO)
+    this.valuesByEngine.delete(engine)
   }
 
   get meanSlots (): number {
-    return this.counted.size === 0 ? 0 : this.sums.slots / this.counted.size
+    return this.valuesByEngine.size === 0 ? 0 : this.sums.slots / this.valuesByEngine.size
   }
 
   get meanPauseMs (): number {
-    return this.counted.size === 0 ? 0 : this.sums.pauseMs / this.counted.size
+    return this.valuesByEngine.size === 0 ? 0 : this.sums.pauseMs / this.valuesByEngine.size
   }
 
   /** The number of pause-sensitive streams at all engines. */
   get pauseSensitiveStreams (): number {
-    return this.sums.sensitive
+    return this.sums.pauseSensitiveStreams
   }
 
-  private replace (before: Counted = NOTHING, after: Counted): void {
+  private replace (before: EngineValues = ZERO, after: EngineValues): void {
     this.sums.slots += after.slots - before.slots
     this.sums.pauseMs += after.pauseMs - before.pauseMs
-    this.sums.sensitive += after.sensitive - before.sensitive
+    this.sums.pauseSensitiveStreams += after.pauseSensitiveStreams - before.pauseSensitiveStreams
   }
 }
--- a/routing/balancer/src/outcome-observer.ts
+++ b/routing/balancer/src/outcome-observer.ts
@@ -19,25 +19,25 @@
 
 export class OutcomeObserver {
   private share = 0
-  private learntAt = -Infinity
-  private seen: Outcomes = { good: 0, failed: 0 }
+  private updatedAt = -Infinity
+  private outcomes: Outcomes = { good: 0, failed: 0 }
 
   /** Records the outcome of an attempt of this entry. It affects the share only through the reports to control. */
   record (isGood: boolean): void {
-    if (isGood) this.seen.good += 1
-    else this.seen.failed += 1
+    if (isGood) this.outcomes.good += 1
+    else this.outcomes.failed += 1
   }
 
   /** Whether there are outcomes that have not been reported. */
   get hasObservations (): boolean {
-    return this.seen.good + this.seen.failed > 0
+    return this.outcomes.good + this.outcomes.failed > 0
   }
 
   /** Returns the outcomes since the last call. */
   takeObservations (): Outcomes {
-    const { seen } = this
-    this.seen = { good: 0, failed: 0 }
-    return seen
+    const { outcomes } = this
+    this.outcomes = { good: 0, failed: 0 }
+    return outcomes
   }
 
   /** Updates the share from the outcomes that an entry reported. */
@@ -51,12 +51,12 @@
   /** Replaces the share by that over all entries. */
   adopt (share: number, now: number): void {
     this.share = share
-    this.learntAt = now
+    this.updatedAt = now
   }
 
   /** Returns the share of recent attempts that failed; 0 if nothing is known. */
   failureShareAt (now: number): number {
-    return this.share === 0 ? 0 : this.share * 0.5 ** ((now - this.learntAt) / HALF_LIFE_MS)
+    return this.share === 0 ? 0 : this.share * 0.5 ** ((now - this.updatedAt) / HALF_LIFE_MS)
   }
 
   /** Returns the part of the share above the ordinary one. */
--- a/routing/balancer/src/output-length-estimator.ts
+++ b/routing/balancer/src/output-length-estimator.ts
@@ -5,9 +5,9 @@
  */
 
 /** The weight of one request in the usual estimate of its route. */
-const USUAL_WEIGHT = 0.05
+const REQUEST_WEIGHT = 0.05
 /** The weight of the usual estimate in the average, which is taken on a logarithmic scale. */
-const USUAL_SHARE = 0.5
+const USUAL_ESTIMATE_SHARE = 0.5
 
 /** The most routes to store, since route names change with documents; the oldest route is removed first. */
 const MAX_ROUTES = 5000
@@ -22,23 +22,23 @@
 
 export class OutputLengthEstimator {
   /** The logarithm of the usual estimate of a route's callers. */
-  private readonly usual = new Map<string, number>()
+  private readonly usualLog = new Map<string, number>()
 
   /** Records a request of a route. */
   record (route: string, { expectedTokens }: OutputLengthHint): void {
     if (expectedTokens === undefined || expectedTokens <= 0) return
-    const known = this.usual.get(route) ?? Math.log(expectedTokens)
-    this.usual.set(route, known + USUAL_WEIGHT * (Math.log(expectedTokens) - known))
-    const [oldest] = this.usual.keys()
-    if (this.usual.size > MAX_ROUTES && oldest !== undefined) this.usual.delete(oldest)
+    const known = this.usualLog.get(route) ?? Math.log(expectedTokens)
+    this.usualLog.set(route, known + REQUEST_WEIGHT * (Math.log(expectedTokens) - known))
+    const [oldest] = this.usualLog.keys()
+    if (this.usualLog.size > MAX_ROUTES && oldest !== undefined) this.usualLog.delete(oldest)
   }
 
   /** Returns the expected number of tokens; 0 if nothing is known. */
   estimate (route: string, { expectedTokens, maxTokens }: OutputLengthHint): number {
-    const usual = this.usual.get(route)
+    const usualLog = this.usualLog.get(route)
     const limit = maxTokens !== undefined && maxTokens > 0 ? maxTokens : Infinity
-    if (expectedTokens === undefined || expectedTokens <= 0) return usual === undefined ? 0 : Math.min(limit, Math.exp(usual))
+    if (expectedTokens === undefined || expectedTokens <= 0) return usualLog === undefined ? 0 : Math.min(limit, Math.exp(usualLog))
     const logHint = Math.log(expectedTokens)
-    return Math.min(limit, Math.exp(logHint + USUAL_SHARE * ((usual ?? logHint) - logHint)))
+    return Math.min(limit, Math.exp(logHint + USUAL_ESTIMATE_SHARE * ((usualLog ?? logHint) - logHint)))
   }
 }
--- a/routing/balancer/src/prefill-observer.ts
+++ b/routing/balancer/src/prefill-observer.ts
@@ -19,19 +19,19 @@
 /** The weight of one observation in the speed. */
 const SPEED_WEIGHT = 0.1
 /** An observation is clamped to this factor above and below the present speed. */
-const SPEED_STEP = 2
+const MAX_SPEED_FACTOR = 2
 /** The largest factor between the learnt and the assumed speed, in either direction. */
-const SPEED_RANGE = 2
+const LEARNT_SPEED_FACTOR = 2
 
 /** The assumed pause of an engine without observations, in ms. */
 const UNKNOWN_PAUSE_MS = 200
 /** A shorter pause means that the engine did no prefill, in ms. */
-const MIN_READING_PAUSE_MS = 20
+const MIN_PREFILL_PAUSE_MS = 20
 /** A pause above the estimate has the higher weight, so that about nine of ten pauses are shorter than the estimate. */
 const LONGER_PAUSE_WEIGHT = 0.1
 const SHORTER_PAUSE_WEIGHT = 0.01
 /** A pause counts with at most this multiple of the estimate, since a stalled engine does no prefill. */
-const PAUSE_STEP = 2
+const MAX_PAUSE_FACTOR = 2
 
 /** The most observations of each kind between two reports; more from one engine in that time add no information. */
 const MAX_UNREPORTED = 16
@@ -59,45 +59,45 @@
   /** The share of the recent seconds that prefill took, from 0 to 1. */
   busyShare = 0
   private busyAt = -Infinity
-  private seen: PrefillObservations = { pauses: [], reads: [] }
+  private observations: PrefillObservations = { pauses: [], reads: [] }
 
   /**
    * Samples the prefill backlog.
    * @param intervals number of regular sampling intervals that the sample stands for
    */
   sample (backlogTokens: number, now: number, intervals = 1): void {
-    const isReading = Math.min(1, backlogTokens / BUSY_TOKENS)
-    if (isReading === 1) this.busyAt = now
+    const prefillShare = Math.min(1, backlogTokens / BUSY_TOKENS)
+    if (prefillShare === 1) this.busyAt = now
     const weight = intervals === 1 ? SHARE_WEIGHT : 1 - (1 - SHARE_WEIGHT) ** intervals
-    this.busyShare += weight * (isReading - this.busyShare)
+    this.busyShare += weight * (prefillShare - this.busyShare)
   }
 
   /** Records that the prefill of a prompt is complete. */
-  recordPrefill (read: PrefillSample): void {
-    if (read.tokens < MIN_TIMED_TOKENS || read.tookMs < MIN_TIMED_MS) return
-    if (this.seen.reads.length < MAX_UNREPORTED) this.seen.reads.push(read)
-    this.learnPrefill(read)
+  recordPrefill (prefillSample: PrefillSample): void {
+    if (prefillSample.tokens < MIN_TIMED_TOKENS || prefillSample.tookMs < MIN_TIMED_MS) return
+    if (this.observations.reads.length < MAX_UNREPORTED) this.observations.reads.push(prefillSample)
+    this.learnPrefill(prefillSample)
   }
 
   /** Updates the speed from the prefill of a prompt that is long enough. */
   learnPrefill ({ tokens, aheadTokens, tookMs }: PrefillSample): void {
-    const seen = clamp((tokens + aheadTokens) / tookMs, this.tokensPerMs / SPEED_STEP, this.tokensPerMs * SPEED_STEP)
-    const learnt = this.tokensPerMs + SPEED_WEIGHT * (seen - this.tokensPerMs)
-    this.tokensPerMs = clamp(learnt, UNKNOWN_TOKENS_PER_MS / SPEED_RANGE, UNKNOWN_TOKENS_PER_MS * SPEED_RANGE)
+    const observed = clamp((tokens + aheadTokens) / tookMs, this.tokensPerMs / MAX_SPEED_FACTOR, this.tokensPerMs * MAX_SPEED_FACTOR)
+    const updated = this.tokensPerMs + SPEED_WEIGHT * (observed - this.tokensPerMs)
+    this.tokensPerMs = clamp(updated, UNKNOWN_TOKENS_PER_MS / LEARNT_SPEED_FACTOR, UNKNOWN_TOKENS_PER_MS * LEARNT_SPEED_FACTOR)
   }
 
   /** Records the time between two events of a stream; it counts if the engine was busy with prefill in between. */
   recordPause (pauseMs: number, startedAt: number): void {
-    if (this.busyAt < startedAt || pauseMs < MIN_READING_PAUSE_MS) return
-    if (this.seen.pauses.length < MAX_UNREPORTED) this.seen.pauses.push(Math.round(pauseMs))
+    if (this.busyAt < startedAt || pauseMs < MIN_PREFILL_PAUSE_MS) return
+    if (this.observations.pauses.length < MAX_UNREPORTED) this.observations.pauses.push(Math.round(pauseMs))
     this.learnPause(pauseMs)
   }
 
   /** Updates the pause estimate from a pause during prefill. */
   learnPause (pauseMs: number): void {
-    const seen = Math.min(pauseMs, PAUSE_STEP * this.pauseMs)
-    const weight = seen > this.pauseMs ? LONGER_PAUSE_WEIGHT : SHORTER_PAUSE_WEIGHT
-    this.pauseMs += weight * (seen - this.pauseMs)
+    const observedMs = Math.min(pauseMs, MAX_PAUSE_FACTOR * this.pauseMs)
+    const weight = observedMs > this.pauseMs ? LONGER_PAUSE_WEIGHT : SHORTER_PAUSE_WEIGHT
+    this.pauseMs += weight * (observedMs - this.pauseMs)
   }
 
   /** Replaces the estimates by those from the observations of all entries. */
@@ -108,15 +108,15 @@
 
   /** Whether there are observations that have not been reported. */
   get hasObservations (): boolean {
-    return this.seen.pauses.length + this.seen.reads.length > 0
+    return this.observations.pauses.length + this.observations.reads.length > 0
   }
 
   /** Returns the observations since the last call; undefined if there are none. */
   takeObservations (): PrefillObservations | undefined {
-    const { seen } = this
+    const { observations } = this
     if (!this.hasObservations) return undefined
-    this.seen = { pauses: [], reads: [] }
-    return seen
+    this.observations = { pauses: [], reads: [] }
+    return observations
   }
 }
 
--- a/routing/balancer/src/prefix-holders.ts
+++ b/routing/balancer/src/prefix-holders.ts
@@ -9,7 +9,7 @@
   prompt: readonly PromptPart[]
   /** The most endpoints to return. */
   limit: number
-  accepts: (endpoint: EndpointState) => boolean
+  isAllowed: (endpoint: EndpointState) => boolean
   /** Returns a number from 0 to 1 that sets where the search begins among the endpoints with the same part. */
   random: () => number
 }
@@ -36,21 +36,21 @@
   }
 
   /** Returns endpoints that have a prefix of a prompt cached, those with the longest prefix first. */
-  find ({ prompt, limit, accepts, random }: PrefixHolderQuery): Set<EndpointState> {
+  find ({ prompt, limit, isAllowed, random }: PrefixHolderQuery): Set<EndpointState> {
     const found = new Set<EndpointState>()
     for (let depth = prompt.length - 1; depth >= 0 && found.size < limit; depth -= 1) {
-      const keepers = this.keepersOf(prompt[depth]?.id ?? '')
-      const start = Math.floor(random() * keepers.length)
-      const checks = Math.min(keepers.length, MAX_CHECKS)
+      const holders = this.holdersOf(prompt[depth]?.id ?? '')
+      const start = Math.floor(random() * holders.length)
+      const checks = Math.min(holders.length, MAX_CHECKS)
       for (let check = 0; check < checks && found.size < limit; check += 1) {
-        const endpoint = keepers[(start + check) % keepers.length]
-        if (endpoint !== undefined && accepts(endpoint)) found.add(endpoint)
+        const endpoint = holders[(start + check) % holders.length]
+        if (endpoint !== undefined && isAllowed(endpoint)) found.add(endpoint)
       }
     }
     return found
   }
 
-  private keepersOf (part: string): readonly EndpointState[] {
+  private holdersOf (part: string): readonly EndpointState[] {
     const known = this.byPart.get(part) ?? []
     return Array.isArray(known) ? known : [known]
   }
--- a/routing/balancer/src/rendezvous.ts
+++ b/routing/balancer/src/rendezvous.ts
@@ -5,27 +5,27 @@
 const FNV_PRIME = 0x01000193
 
 /** Returns the candidate with the highest hash for a key. Removing a candidate changes the result only for the keys that it had. */
-export function selectByRendezvous<T> (subject: string, candidates: readonly T[], nameOf: (candidate: T) => string): T | undefined {
-  const seed = fnv1a(subject, FNV_OFFSET)
-  let first: T | undefined
+export function selectByRendezvous<T> (key: string, candidates: readonly T[], nameOf: (candidate: T) => string): T | undefined {
+  const seed = fnv1a(key, FNV_OFFSET)
+  let selected: T | undefined
   let highest = -1
   for (const candidate of candidates) {
-    const weight = mixed(fnv1a(nameOf(candidate), seed))
-    if (weight <= highest) continue
-    highest = weight
-    first = candidate
+    const candidateHash = finalise(fnv1a(nameOf(candidate), seed))
+    if (candidateHash <= highest) continue
+    highest = candidateHash
+    selected = candidate
   }
-  return first
+  return selected
 }
 
 /** Returns a 32-bit hash of a name; it is the same in all entries. */
 export function hashName (name: string): number {
-  return mixed(fnv1a(name, FNV_OFFSET))
+  return finalise(fnv1a(name, FNV_OFFSET))
 }
 
 /** Returns a 32-bit hash of two hashes; it is the same in all entries. */
 export function hashPair (left: number, right: number): number {
-  return mixed(left ^ Math.imul(right, FNV_PRIME))
+  return finalise(left ^ Math.imul(right, FNV_PRIME))
 }
 
 function fnv1a (text: string, start: number): number {
@@ -35,7 +35,7 @@
 }
 
 /** The finalizer of MurmurHash3. Without it, names that differ only in their last characters would have similar hashes. */
-function mixed (hash: number): number {
+function finalise (hash: number): number {
   let bits = Math.imul(hash ^ (hash >>> 16), 0x85ebca6b)
   bits = Math.imul(bits ^ (bits >>> 13), 0xc2b2ae35)
   return (bits ^ (bits >>> 16)) >>> 0
--- a/routing/balancer/src/reserved-engines.ts
+++ b/routing/balancer/src/reserved-engines.ts
@@ -10,7 +10,7 @@
 import { pauseSensitivityOf } from './pause-sensitivity.ts'
 
 /** Streams above this pause sensitivity get reserved engines: the pauses during prefill exceed about two thirds of their limit. */
-const SENSITIVE_STRAIN = 0.25
+const MIN_RESERVED_SENSITIVITY = 0.25
 /** Routes whose requests usually have more unshared tokens cause long prefill themselves: more than one engine step. */
 const SHORT_PREFILL_TOKENS = 2048
 /** The weight of one request in the moving average of its route's unshared tokens. */
@@ -40,7 +40,7 @@
   size: number
   meanSlots: number
   /** The number of pause-sensitive streams at all of them. */
-  sensitive: number
+  pauseSensitiveStreams: number
 }
 
 /** Where engines may be reserved. */
@@ -57,7 +57,7 @@
 interface CachedReservation {
   version: number
   count: number
-  places: string
+  dataCentres: string
   engines: ReadonlySet<EndpointState>
 }
 
@@ -72,7 +72,7 @@
   private readonly ownTokens = new Map<string, number>()
   private readonly byService = new Map<string, ReadonlySet<EndpointState>>()
   /** The number of pause-sensitive streams by region and service; it follows rises at once and falls slowly. */
-  private readonly sensitive = new Map<string, number>()
+  private readonly streamCounts = new Map<string, number>()
   /** The reserved engines of large fleets, cached until a value that they depend on changes. */
   private readonly cachedReservations = new Map<string, CachedReservation>()
   /** The mean pause of streams during prefill by service, in ms. */
@@ -99,16 +99,16 @@
         if (!names.services.has(service)) known.delete(service)
       }
     }
-    for (const key of this.sensitive.keys()) {
-      if (!names.services.has(key.slice(key.indexOf('/') + 1))) this.sensitive.delete(key)
+    for (const key of this.streamCounts.keys()) {
+      if (!names.services.has(key.slice(key.indexOf('/') + 1))) this.streamCounts.delete(key)
     }
   }
 
   /** Whether requests of a route are delayed by prefill on the same engine, and need little prefill themselves. */
   isPauseSensitive ({ route, maxPauseMs }: StreamKind, service: string): boolean {
-    const readingPauseMs = this.pauses.get(service)
-    if (maxPauseMs === undefined || readingPauseMs === undefined) return false
-    return pauseSensitivityOf(maxPauseMs, readingPauseMs) > SENSITIVE_STRAIN &&
+    const prefillPauseMs = this.pauses.get(service)
+    if (maxPauseMs === undefined || prefillPauseMs === undefined) return false
+    return pauseSensitivityOf(maxPauseMs, prefillPauseMs) > MIN_RESERVED_SENSITIVITY &&
       (this.ownTokens.get(route) ?? Infinity) <= SHORT_PREFILL_TOKENS
   }
 
@@ -128,12 +128,12 @@
       groups.set(region, [...groups.get(region) ?? [], engine])
     }
     const reserved = [...groups].map(([region, group]) => this.reservedAmong(group, `${region}/${service}`))
-    if (reserved.every((among) => among === undefined)) {
+    if (reserved.every((selected) => selected === undefined)) {
       this.byService.delete(service)
       return
     }
     this.pauses.set(service, mean(engines.map(({ prefill }) => prefill.pauseMs)))
-    this.byService.set(service, new Set(reserved.flatMap((among) => among ?? [])))
+    this.byService.set(service, new Set(reserved.flatMap((selected) => selected ?? [])))
   }
 
   /**
@@ -149,7 +149,7 @@
       return
     }
     const { size, totals: { meanSlots, meanPauseMs, pauseSensitiveStreams } } = pool
-    const count = this.countFor(`/${service}`, { size, meanSlots, sensitive: pauseSensitiveStreams })
+    const count = this.countFor(`/${service}`, { size, meanSlots, pauseSensitiveStreams })
     if (count === undefined) {
       this.byService.delete(service)
       return
@@ -161,9 +161,9 @@
   private reservedInPool (
     service: string, pool: EndpointPool, { count, isDataCentreAllowed, regionOf }: FleetReservation
   ): ReadonlySet<EndpointState> {
-    const places = [...pool.dataCentrePools].map(({ dataCentre }) => dataCentre).filter(isDataCentreAllowed).join(' ')
+    const dataCentres = [...pool.dataCentrePools].map(({ dataCentre }) => dataCentre).filter(isDataCentreAllowed).join(' ')
     const known = this.cachedReservations.get(service)
-    if (known?.version === pool.version && known.count === count && known.places === places) return known.engines
+    if (known?.version === pool.version && known.count === count && known.dataCentres === dataCentres) return known.engines
     const quotas = new Map<string, number>()
     for (const { dataCentre, members } of pool.dataCentrePools) {
       const region = regionOf(dataCentre)
@@ -177,7 +177,7 @@
       quotas.set(region, quota - 1)
       engines.add(engine)
     }
-    this.cachedReservations.set(service, { version: pool.version, count, places, engines })
+    this.cachedReservations.set(service, { version: pool.version, count, dataCentres, engines })
     return engines
   }
 
@@ -186,22 +186,22 @@
     const count = this.countFor(key, {
       size: engines.length,
       meanSlots: mean(engines.map(({ description }) => description.slots)),
-      sensitive: engines.reduce((sum, engine) => sum + engine.pauseSensitiveStreams, 0)
+      pauseSensitiveStreams: engines.reduce((sum, engine) => sum + engine.pauseSensitiveStreams, 0)
     })
-    return count === undefined ? undefined : byRank(engines).slice(0, count)
+    return count === undefined ? undefined : sortByReservationRank(engines).slice(0, count)
   }
 
   /** Returns the number of engines to reserve; undefined if there are too few, or none reports its slots. */
-  private countFor (key: string, { size, meanSlots, sensitive }: Engines): number | undefined {
+  private countFor (key: string, { size, meanSlots, pauseSensitiveStreams }: Engines): number | undefined {
     if (size < MIN_ENGINES || meanSlots <= 0) return undefined
-    const known = this.sensitive.get(key) ?? 0
-    const smoothed = sensitive > known ? sensitive : known + DECREASE_WEIGHT * (sensitive - known)
-    this.sensitive.set(key, smoothed)
+    const known = this.streamCounts.get(key) ?? 0
+    const smoothed = pauseSensitiveStreams > known ? pauseSensitiveStreams : known + DECREASE_WEIGHT * (pauseSensitiveStreams - known)
+    this.streamCounts.set(key, smoothed)
     return Math.min(Math.floor(MAX_SHARE * size), Math.ceil(Math.floor(smoothed) / (TARGET_FILL * meanSlots)))
   }
 }
 
-function byRank (engines: readonly EndpointState[]): EndpointState[] {
+function sortByReservationRank (engines: readonly EndpointState[]): EndpointState[] {
   return [...engines].sort((left, right) => left.reservationRank - right.reservationRank)
 }
 
--- a/routing/balancer/test/cross-region.test.ts
+++ b/routing/balancer/test/cross-region.test.ts
@@ -1,5 +1,7 @@
 import { describe, expect, it } from 'vitest'
-import { choose, EndpointState, RegionLink, ReservedEngines, scoreEndpoints, type ChoiceRequest, type PromptPart } from '@gullwall/routing.balancer'
+import {
+  choose, EndpointState, RegionLink, ReservedEngines, scoreEndpoints, type ChoiceRequest, type PromptPart
+} from '@gullwall/routing.balancer'
 
 const LATER = 10_000
 const SLOTS = 64
@@ -8,7 +10,7 @@
 const SMALL_MS = 50
 const LARGE_MS = 240
 const regionOf = (dataCentre: string) => dataCentre[0] ?? ''
-const demand: ChoiceRequest = {
+const request: ChoiceRequest = {
   prompt: [SUBJECT, { id: 'own', tokens: 500 }],
   dataCentre: 'n1',
   regions: { regionOf, crossRegionCostMs: SMALL_MS },
@@ -45,7 +47,7 @@
     for (const endpoint of all.filter(isNorth)) fill(endpoint, 0.6 * SLOTS)
     for (let index = 0; index < 50; index += 1) {
       const prompt = [{ id: `subject-${index}`, tokens: 8000 }, { id: 'own', tokens: 500 }]
-      const chosen = choose({ ...demand, prompt }, all, LATER)
+      const chosen = choose({ ...request, prompt }, all, LATER)
       expect(chosen?.endpoint).toSatisfy(isNorth)
       expect(chosen?.crossRegion).toBeUndefined()
     }
@@ -54,7 +56,7 @@
   it('goes to the other region once the engines of its own are nearly full, and gives the reason', () => {
     const all = twoRegions()
     for (const endpoint of all.filter(isNorth)) fill(endpoint, 0.9 * SLOTS)
-    const chosen = choose({ ...demand, prompt: [{ id: 'own', tokens: 500 }] }, all, LATER)
+    const chosen = choose({ ...request, prompt: [{ id: 'own', tokens: 500 }] }, all, LATER)
     expect(chosen?.endpoint).not.toSatisfy(isNorth)
     expect(chosen?.crossRegion).toMatchObject({ region: 's', costMs: 300 + SMALL_MS })
     expect(chosen?.crossRegion?.localCost).toBeGreaterThan(chosen?.cost ?? Infinity)
@@ -63,15 +65,15 @@
   it('goes to the other region if no engine of its own accepts it, unless the link has no capacity', () => {
     const all = twoRegions()
     for (const endpoint of all.filter(isNorth)) fill(endpoint, SLOTS)
-    expect(choose(demand, all, LATER)?.crossRegion).toMatchObject({ region: 's', localCost: undefined })
-    expect(choose({ ...demand, regions: { regionOf, crossRegionCostMs: undefined } }, all, LATER)).toBeUndefined()
+    expect(choose(request, all, LATER)?.crossRegion).toMatchObject({ region: 's', localCost: undefined })
+    expect(choose({ ...request, regions: { regionOf, crossRegionCostMs: undefined } }, all, LATER)).toBeUndefined()
   })
 
   it('goes to the other region earlier if it has fewer bytes', () => {
     const crossesFrom = (costMs: number) => Array.from({ length: SLOTS }, (_unused, running) => running).find((running) => {
       const all = twoRegions()
       for (const endpoint of all.filter(isNorth)) fill(endpoint, running)
-      return choose({ ...demand, prompt: [], regions: { regionOf, crossRegionCostMs: costMs } }, all, LATER)?.crossRegion !== undefined
+      return choose({ ...request, prompt: [], regions: { regionOf, crossRegionCostMs: costMs } }, all, LATER)?.crossRegion !== undefined
     }) ?? Infinity
     expect(crossesFrom(SMALL_MS)).toBeGreaterThan(0.6 * SLOTS)
     expect(crossesFrom(SMALL_MS)).toBeLessThan(crossesFrom(LARGE_MS))
@@ -79,11 +81,11 @@
 
   it('needs prefill of the shared parts in the other region, since they are not copied between regions', () => {
     const all = twoRegions()
-    const [home] = all
-    home?.prefixCache.record([SUBJECT], 0)
-    const candidates = scoreEndpoints({ ...demand, copySources: all }, all, LATER)
-    for (const { endpoint, source, unreadTokens } of candidates.filter((candidate) => candidate.endpoint !== home)) {
-      expect([source, unreadTokens]).toEqual(isNorth(endpoint) ? [home, 500] : [undefined, 8500])
+    const [affinityEndpoint] = all
+    affinityEndpoint?.prefixCache.record([SUBJECT], 0)
+    const candidates = scoreEndpoints({ ...request, copySources: all }, all, LATER)
+    for (const { endpoint, source, unreadTokens } of candidates.filter((candidate) => candidate.endpoint !== affinityEndpoint)) {
+      expect([source, unreadTokens]).toEqual(isNorth(endpoint) ? [affinityEndpoint, 500] : [undefined, 8500])
     }
   })
 
@@ -91,18 +93,18 @@
     const all = twoRegions()
     for (let index = 0; index < 50; index += 1) {
       const prompt = [{ id: `subject-${index}`, tokens: 8000 }, { id: 'own', tokens: 500 }]
-      const homesFrom = (dataCentre: string) => scoreEndpoints({ ...demand, prompt, dataCentre }, all, LATER)
+      const affinityEndpointsFrom = (dataCentre: string) => scoreEndpoints({ ...request, prompt, dataCentre }, all, LATER)
         .filter(({ isAffinityEndpoint }) => isAffinityEndpoint).map(({ endpoint }) => endpoint)
-      const homes = homesFrom('n1')
-      expect(homes.map(isNorth).sort()).toEqual([false, true])
-      expect(homesFrom('s2')).toEqual(homes)
+      const affinityEndpoints = affinityEndpointsFrom('n1')
+      expect(affinityEndpoints.map(isNorth).sort()).toEqual([false, true])
+      expect(affinityEndpointsFrom('s2')).toEqual(affinityEndpoints)
     }
   })
 
   it('has the same costs in one region as without regions', () => {
     const all = twoRegions()
-    const withoutRegions = scoreEndpoints({ ...demand, regions: undefined }, all, LATER)
-    expect(scoreEndpoints({ ...demand, regions: { regionOf: () => 'one', crossRegionCostMs: undefined } }, all, LATER)).toEqual(withoutRegions)
+    const withoutRegions = scoreEndpoints({ ...request, regions: undefined }, all, LATER)
+    expect(scoreEndpoints({ ...request, regions: { regionOf: () => 'one', crossRegionCostMs: undefined } }, all, LATER)).toEqual(withoutRegions)
     expect(withoutRegions.filter(({ isAffinityEndpoint }) => isAffinityEndpoint).length).toBe(1)
   })
 })
@@ -110,7 +112,7 @@
 it('a pause-sensitive stream does not go to another region because engines are reserved only there', () => {
   const all = twoRegions()
   const reserved = new Set(all.filter((endpoint) => !isNorth(endpoint)).slice(0, 1))
-  const chosen = choose({ ...demand, prompt: [{ id: 'own', tokens: 300 }], isPauseSensitive: true, reserved }, all, LATER)
+  const chosen = choose({ ...request, prompt: [{ id: 'own', tokens: 300 }], isPauseSensitive: true, reserved }, all, LATER)
   expect(chosen?.endpoint).toSatisfy(isNorth)
 })
 
--- a/routing/balancer/test/endpoint-fixture.ts
+++ b/routing/balancer/test/endpoint-fixture.ts
@@ -8,7 +8,7 @@
 const DATA_CENTRES = 4
 const SLOTS = 64
 
-export class Fleet {
+export class EndpointFixture {
   readonly index = new EndpointIndex()
   readonly endpoints: EndpointState[]
   readonly random: () => number
@@ -23,16 +23,16 @@
   }
 
   /** Gives each endpoint some load of other entries and some cached prefixes. */
-  load (fill = 0.9): this {
+  load (fillShare = 0.9): this {
     for (const endpoint of this.endpoints) {
       endpoint.othersLoad = {
         unread: [{ urgency: 3, tokens: Math.round(20_000 * this.random() ** 3) }],
-        running: Math.round(fill * SLOTS * this.random()),
+        running: Math.round(fillShare * SLOTS * this.random()),
         strain: 2 * this.random(),
         sensitive: 0,
         unreachable: 0
       }
-      for (let kept = 0; kept < 3; kept += 1) endpoint.prefixCache.record([this.subject()], 0)
+      for (let cached = 0; cached < 3; cached += 1) endpoint.prefixCache.record([this.subject()], 0)
     }
     return this
   }
@@ -41,7 +41,7 @@
     return { id: `subject-${Math.floor(this.size * this.random())}`, tokens: 6300 }
   }
 
-  demand (changes: Partial<ChoiceRequest> = {}): ChoiceRequest {
+  request (changes: Partial<ChoiceRequest> = {}): ChoiceRequest {
     return {
       prompt: [this.subject(), { id: `own-${this.random()}`, tokens: 2900 }],
       dataCentre: 'dc0',
@@ -59,7 +59,7 @@
     }
   }
 
-  choosable (rules: Partial<CandidateScope> = {}): CandidateScope {
+  scope (rules: Partial<CandidateScope> = {}): CandidateScope {
     const { index, random } = this
     return {
       pool: index.pool(SERVICE),
--- a/routing/balancer/test/endpoint-index.test.ts
+++ b/routing/balancer/test/endpoint-index.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import { ReservedEngines, type EndpointState } from '@gullwall/routing.balancer'
-import { Fleet, LATER, SERVICE } from './endpoint-fixture.ts'
+import { EndpointFixture, LATER, SERVICE } from './endpoint-fixture.ts'
 
 const SEED = Number(process.env['FUZZ_SEED'] ?? 12)
 const SIZE = 12
@@ -25,7 +25,7 @@
 /** Tests compare names: printing a difference between endpoint objects would take minutes. */
 const namesOf = (endpoints: Iterable<EndpointState>) => [...endpoints].map(({ description }) => description.incarnation)
 
-function apply (fleet: Fleet, usable: Set<EndpointState>, taken: Step): void {
+function apply (fleet: EndpointFixture, usable: Set<EndpointState>, taken: Step): void {
   const endpoint = fleet.endpoints[taken.index]
   if (endpoint === undefined) return
   if (taken.type === 'note') endpoint.prefixCache.record(promptOf(taken.subject), 0)
@@ -45,7 +45,7 @@
   it('has the same contents as a scan of all endpoints, after any changes', () => {
     console.log(`seed ${SEED}`)
     fc.assert(fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
-      const fleet = new Fleet(SIZE, 1)
+      const fleet = new EndpointFixture(SIZE, 1)
       const usable = new Set(fleet.endpoints)
       for (const taken of steps) apply(fleet, usable, taken)
       const pool = fleet.index.pool(SERVICE)
@@ -57,7 +57,7 @@
       }
       for (let subject = 0; subject < SUBJECTS; subject += 1) {
         const prompt = promptOf(subject)
-        const holders = fleet.index.prefixHolders.find({ prompt, limit: SIZE, accepts: () => true, random: () => 0 })
+        const holders = fleet.index.prefixHolders.find({ prompt, limit: SIZE, isAllowed: () => true, random: () => 0 })
         expect(namesOf(holders).sort()).toEqual(
           namesOf(fleet.endpoints.filter(({ prefixCache }) => prefixCache.cachedTokens(prompt) > 0)).sort()
         )
@@ -66,7 +66,7 @@
   })
 
   it('reserves the same engines of a large fleet as a scan of all of them', () => {
-    const fleet = new Fleet(300, SEED)
+    const fleet = new EndpointFixture(300, SEED)
     const pool = fleet.index.pool(SERVICE)
     const [removed, ...others] = fleet.endpoints
     for (const endpoint of others.slice(0, 90)) {
--- a/routing/balancer/test/engine-memory.test.ts
+++ b/routing/balancer/test/engine-memory.test.ts
@@ -9,7 +9,7 @@
   incarnation: `i-${index}`, service: 'lm', address: `127.0.0.1:${index}`, dataCentre: 'dc1', slots: 64
 }, 100_000)
 
-function demandOf (prompt: readonly PromptPart[], changes: Partial<ChoiceRequest> = {}): ChoiceRequest {
+function requestOf (prompt: readonly PromptPart[], changes: Partial<ChoiceRequest> = {}): ChoiceRequest {
   return {
     prompt,
     dataCentre: 'dc1',
@@ -44,7 +44,7 @@
     let others = NO_MEMORY_USE
     for (let entry = 0; entry < 30; entry += 1) {
       const inFlight = new InFlightMemory()
-      for (let request = 0; request < 4; request += 1) inFlight.add(requestSizeOf(promptOf(`subject ${(entry * 4 + request) % subjects}`), 0))
+      for (let index = 0; index < 4; index += 1) inFlight.add(requestSizeOf(promptOf(`subject ${(entry * 4 + index) % subjects}`), 0))
       others = addMemoryUse(others, inFlight.use)
     }
     const shared = new InFlightMemory().tokensWith(others) - 120 * 2900
@@ -53,21 +53,23 @@
 
   it('is released once when an attempt ends', () => {
     const state = engine()
-    const work = state.begin({ prompt: promptOf('a'), unreadTokens: 0, urgency: 0, pauseSensitivity: 0, isPauseSensitive: false, outputTokens: 70 }, 0)
+    const inFlightRequest = state.begin({
+      prompt: promptOf('a'), unreadTokens: 0, urgency: 0, pauseSensitivity: 0, isPauseSensitive: false, outputTokens: 70
+    }, 0)
     expect(state.memory.tokensWith(NO_MEMORY_USE)).toBe(6300 + 2900 + 70)
-    state.end(work, 'failed', 1)
-    state.end(work, 'failed', 2)
+    state.end(inFlightRequest, 'failed', 1)
+    state.end(inFlightRequest, 'failed', 2)
     expect(state.memory.tokensWith(NO_MEMORY_USE)).toBe(0)
   })
 
   it('excludes an engine in which a request does not fit, unless the request goes first', () => {
     const full = engine()
     full.othersLoad = { unread: [], running: 9, strain: 0, sensitive: 0, unreachable: 0, memory: { ...NO_MEMORY_USE, tokens: 85_000 } }
-    const demand = demandOf(promptOf('new'))
-    expect(choose(demand, [full], 0)).toBeUndefined()
-    expect(choose({ ...demand, tier: 0 }, [full], 0)?.endpoint).toBe(full)
-    expect(choose({ ...demand, isResumed: true }, [full], 0)?.endpoint).toBe(full)
-    expect(choose(demandOf(promptOf('new', 1000).slice(1)), [full], 0)?.endpoint).toBe(full)
+    const request = requestOf(promptOf('new'))
+    expect(choose(request, [full], 0)).toBeUndefined()
+    expect(choose({ ...request, tier: 0 }, [full], 0)?.endpoint).toBe(full)
+    expect(choose({ ...request, isResumed: true }, [full], 0)?.endpoint).toBe(full)
+    expect(choose(requestOf(promptOf('new', 1000).slice(1)), [full], 0)?.endpoint).toBe(full)
   })
 
   it('raises the cost of an engine as its memory fills', () => {
@@ -75,7 +77,7 @@
     filling.prefixCache.record(promptOf('a').slice(0, 1), 0)
     other.prefixCache.record(promptOf('a').slice(0, 1), 0)
     other.othersLoad = { unread: [], running: 12, strain: 0, sensitive: 0, unreachable: 0 }
-    const chosen = () => choose(demandOf(promptOf('a')), [filling, other], 10_000)?.endpoint.description.incarnation
+    const chosen = () => choose(requestOf(promptOf('a')), [filling, other], 10_000)?.endpoint.description.incarnation
     expect(chosen()).toBe('i-0')
     filling.othersLoad = { unread: [], running: 0, strain: 0, sensitive: 0, unreachable: 0, memory: { ...NO_MEMORY_USE, tokens: 72_000 } }
     expect(chosen()).toBe('i-1')
--- a/routing/balancer/test/failing-engine.test.ts
+++ b/routing/balancer/test/failing-engine.test.ts
@@ -23,7 +23,7 @@
   ))
 }
 
-const DEMAND: ChoiceRequest = {
+const REQUEST: ChoiceRequest = {
   prompt: [],
   dataCentre: 'dc1',
   tier: 1,
@@ -69,15 +69,15 @@
     const entry = entries[Math.floor(random() * ENTRIES)]
     // Engines with equal cost are chosen in random order, as they would be under the load of other entries.
     const shuffled = [...entry?.engines ?? []].sort(() => random() - 0.5)
-    const endpoint = choose(DEMAND, shuffled, now)?.endpoint
+    const endpoint = choose(REQUEST, shuffled, now)?.endpoint
     if (endpoint === undefined) continue
     requests += 1
     const isFailure = endpoint.description.incarnation === `i-${FAILING}` && random() < FAILURE_SHARE
     if (isFailure) failed += 1
-    const work = endpoint.begin(
+    const request = endpoint.begin(
       { prompt: [], unreadTokens: 0, urgency: 1, pauseSensitivity: 0, isPauseSensitive: false, outputTokens: 10 }, now
     )
-    running.push({ endsAt: now + RUN_MS, end: () => endpoint.end(work, isFailure ? 'failed' : 'good', now + RUN_MS) })
+    running.push({ endsAt: now + RUN_MS, end: () => endpoint.end(request, isFailure ? 'failed' : 'good', now + RUN_MS) })
   }
   return failed / requests
 }
--- a/routing/balancer/test/memory-simulation.test.ts
+++ b/routing/balancer/test/memory-simulation.test.ts
@@ -2,7 +2,9 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import { describe, expect, it } from 'vitest'
 import { WorkloadTable } from '@gullwall/control.workload'
-import { choose, EndpointState, NO_OTHERS_LOAD, OutputLengthEstimator, requestSizeOf, type ChoiceRequest, type PromptPart, type InFlightRequest } from '@gullwall/routing.balancer'
+import {
+  choose, EndpointState, NO_OTHERS_LOAD, OutputLengthEstimator, requestSizeOf, type ChoiceRequest, type PromptPart, type InFlightRequest
+} from '@gullwall/routing.balancer'
 import { MemoryEngine, type EngineRequest, type FinishedRun } from './simulated-engine.ts'
 
 const SEED = Number(process.env['FUZZ_SEED'] ?? 31)
@@ -79,7 +81,7 @@
   private readonly engines = Array.from({ length: ENGINES }, () => new MemoryEngine(SLOTS, MEMORY_TOKENS))
   private readonly views = Array.from({ length: GATEWAYS }, enginesOf)
   private readonly outputs = new OutputLengthEstimator()
-  private readonly works = new Map<number, { work: InFlightRequest, endpoint: EndpointState }>()
+  private readonly inFlight = new Map<number, { inFlightRequest: InFlightRequest, endpoint: EndpointState }>()
   private readonly finished: FinishedRun[] = []
   private sent = 0
   private refused = 0
@@ -120,7 +122,7 @@
     const prompt = promptOf(arrival)
     this.outputs.record('ask', arrival)
     const outputTokens = this.outputs.estimate('ask', arrival)
-    const demand: ChoiceRequest = {
+    const request: ChoiceRequest = {
       prompt,
       dataCentre: 'dc1',
       tier: arrival.tier,
@@ -135,13 +137,15 @@
       reserved: new Set(),
       size: this.usesMemory ? requestSizeOf(prompt, outputTokens) : undefined
     }
-    const chosen = choose(demand, view, now)
+    const chosen = choose(request, view, now)
     if (chosen === undefined && now - arrival.at < MAX_WAIT_MS) this.waiting.push(arrival)
     else if (chosen === undefined || chosen.waitMs > TARGET_MS) this.refused += 1
     else {
       const { endpoint, unreadTokens, urgency } = chosen
-      const work = endpoint.begin({ prompt, unreadTokens, urgency, pauseSensitivity: 0.1, isPauseSensitive: false, outputTokens }, now)
-      this.works.set(arrival.id, { work, endpoint })
+      const inFlightRequest = endpoint.begin(
+        { prompt, unreadTokens, urgency, pauseSensitivity: 0.1, isPauseSensitive: false, outputTokens }, now
+      )
+      this.inFlight.set(arrival.id, { inFlightRequest, endpoint })
       this.sent += 1
       this.engines[view.indexOf(endpoint)]?.send({ ...arrival, urgency }, now)
     }
@@ -151,12 +155,12 @@
     for (const engine of this.engines) {
       const { begun, ended } = engine.advance(now)
       for (const { id } of begun) {
-        const known = this.works.get(id)
-        known?.endpoint.recordEvents(known.work, now)
+        const known = this.inFlight.get(id)
+        known?.endpoint.recordEvents(known.inFlightRequest, now)
       }
       for (const run of ended) {
-        const known = this.works.get(run.request.id)
-        known?.endpoint.end(known.work, 'good', now)
+        const known = this.inFlight.get(run.request.id)
+        known?.endpoint.end(known.inFlightRequest, 'good', now)
         this.finished.push(run)
       }
     }
--- a/routing/balancer/test/prefill-observer.test.ts
+++ b/routing/balancer/test/prefill-observer.test.ts
@@ -6,10 +6,10 @@
 describe('the prefill estimates of an engine', () => {
   it('converge to the observed speed', () => {
     const slow = new PrefillObserver()
-    for (let read = 0; read < 100; read++) slow.recordPrefill({ tokens: 2000, aheadTokens: 0, tookMs: 100 })
+    for (let count = 0; count < 100; count++) slow.recordPrefill({ tokens: 2000, aheadTokens: 0, tookMs: 100 })
     expect(slow.tokensPerMs).toBeCloseTo(20, 0)
     const fast = new PrefillObserver()
-    for (let read = 0; read < 100; read++) fast.recordPrefill({ tokens: 6000, aheadTokens: 0, tookMs: 100 })
+    for (let count = 0; count < 100; count++) fast.recordPrefill({ tokens: 6000, aheadTokens: 0, tookMs: 100 })
     expect(fast.tokensPerMs).toBeCloseTo(60, 0)
   })
 
@@ -20,7 +20,7 @@
     expect(observer.tokensPerMs).toBeGreaterThan(0.9 * before)
     observer.recordPrefill({ tokens: 10, aheadTokens: 90_000, tookMs: 10 })
     expect(observer.tokensPerMs).toBeLessThan(before)
-    for (let read = 0; read < 1000; read++) observer.recordPrefill({ tokens: 2000, aheadTokens: 0, tookMs: 60_000 })
+    for (let count = 0; count < 1000; count++) observer.recordPrefill({ tokens: 2000, aheadTokens: 0, tookMs: 60_000 })
     expect(observer.tokensPerMs).toBeGreaterThan(0)
   })
 
@@ -43,10 +43,10 @@
   it('are updated by the attempts at an endpoint', () => {
     const endpoint = new EndpointState({ incarnation: 'i', service: 's', address: '127.0.0.1:1', dataCentre: 'east', slots: 64 })
     for (let attempt = 0; attempt < 100; attempt++) {
-      const work = endpoint.begin({ prompt: [], unreadTokens: 4000, urgency: 0, pauseSensitivity: 0, isPauseSensitive: false }, 0)
+      const request = endpoint.begin({ prompt: [], unreadTokens: 4000, urgency: 0, pauseSensitivity: 0, isPauseSensitive: false }, 0)
       endpoint.samplePrefill(5)
-      endpoint.recordEvents(work, 100)
-      endpoint.end(work, 'good', 100)
+      endpoint.recordEvents(request, 100)
+      endpoint.end(request, 'good', 100)
     }
     expect(endpoint.prefill.tokensPerMs).toBeCloseTo(40, 0)
     expect(endpoint.prefill.busyShare).toBeGreaterThan(0.9)
--- a/routing/balancer/test/rendezvous.test.ts
+++ b/routing/balancer/test/rendezvous.test.ts
@@ -12,7 +12,7 @@
   it('selects the same endpoint for any order of the endpoints, and none from an empty list', () => {
     const reversed = [...endpoints].reverse()
     for (const key of keys.slice(0, 100)) expect(selectFor(key, reversed)).toBe(selectFor(key, endpoints))
-    expect(selectFor('key', [])).toBeUndefined()
+    expect(selectFor('subject', [])).toBeUndefined()
   })
 
   it('changes the endpoint only for keys whose endpoint was removed', () => {
--- a/routing/balancer/test/reserved-engines.test.ts
+++ b/routing/balancer/test/reserved-engines.test.ts
@@ -84,7 +84,7 @@
   it('are preferred by pause-sensitive streams, and used by other requests only if all other engines have long backlogs', () => {
     const all = engines(4)
     const reserved = new Set(all.slice(0, 1))
-    const demand: ChoiceRequest = {
+    const request: ChoiceRequest = {
       prompt: [{ id: 'own', tokens: 900 }],
       dataCentre: 'dc1',
       tier: 1,
@@ -98,8 +98,8 @@
       isPauseSensitive: true,
       reserved
     }
-    expect(choose(demand, all, LATER)?.endpoint).toBe(all[0])
-    const other: ChoiceRequest = { ...demand, isPauseSensitive: false, maxPauseMs: 1200 }
+    expect(choose(request, all, LATER)?.endpoint).toBe(all[0])
+    const other: ChoiceRequest = { ...request, isPauseSensitive: false, maxPauseMs: 1200 }
     expect(choose(other, all, LATER)?.endpoint).not.toBe(all[0])
     for (const engine of all.slice(1)) {
       engine.begin({ prompt: [], unreadTokens: 200_000, urgency: 0, pauseSensitivity: 0, isPauseSensitive: false }, LATER)
