--- a/routing/balancer/src/affinity-ring.ts
+++ b/routing/balancer/src/affinity-ring.ts
@@ -1,7 +1,7 @@
 /**
  * The affinity endpoint of a prompt on a large fleet. Plain rendezvous hashing would hash the name of every endpoint. Here a shared
  * prefix has a point on a hash ring, and rendezvous hashing chooses among the few endpoints that follow the point. Entries agree
- * without exchanging messages, and the loss of an endpoint moves hardly more prefixes than its own.
+ * without exchanging messages, and removing an endpoint moves few prefixes besides its own.
  */
 import { type EndpointState } from './endpoint-state.ts'
 import { hashPair, hashName } from './rendezvous.ts'
@@ -19,7 +19,7 @@
   passed: number
 }
 
-/** Returns the affinity endpoint among the accepted endpoints on some rings; undefined if none is near the point. */
+/** Returns the affinity endpoint among the allowed endpoints on some rings; undefined if none is near the point. */
 export function findAffinityEndpoint (
   sharedPrefixId: string, rings: ReadonlyArray<SortedList<EndpointState>>, isAllowed: (endpoint: EndpointState) => boolean
 ): EndpointState | undefined {
