--- a/routing/balancer/test/endpoint-fixture.ts
+++ b/routing/balancer/test/endpoint-fixture.ts
@@ -17,7 +17,11 @@
     const generator = xoroshiro128plus(seed)
     this.random = () => uniformFloat64(generator)
     this.endpoints = Array.from({ length: size }, (_, index) => new EndpointState({
-      incarnation: `i-${index}`, service: SERVICE, address: `10.0.${index >> 8}.${index & 255}:80`, dataCentre: `dc${index % DATA_CENTRES}`, slots: SLOTS
+      incarnation: `i-${index}`,
+      service: SERVICE,
+      address: `10.0.${index >> 8}.${index & 255}:80`,
+      dataCentre: `dc${index % DATA_CENTRES}`,
+      slots: SLOTS
     }, 300_000, this.index))
     for (const endpoint of this.endpoints) this.index.setUsable(endpoint, true)
   }
@@ -32,18 +36,18 @@
         sensitive: 0,
         unreachable: 0
       }
-      for (let cached = 0; cached < 3; cached += 1) endpoint.prefixCache.record([this.subject()], 0)
+      for (let cached = 0; cached < 3; cached += 1) endpoint.prefixCache.record([this.sharedPart()], 0)
     }
     return this
   }
 
-  subject (): PromptPart {
+  sharedPart (): PromptPart {
     return { id: `subject-${Math.floor(this.size * this.random())}`, tokens: 6300 }
   }
 
   request (changes: Partial<ChoiceRequest> = {}): ChoiceRequest {
     return {
-      prompt: [this.subject(), { id: `own-${this.random()}`, tokens: 2900 }],
+      prompt: [this.sharedPart(), { id: `own-${this.random()}`, tokens: 2900 }],
       dataCentre: 'dc0',
       tier: 1,
       isResumed: false,
--- a/routing/balancer/test/endpoint-index.test.ts
+++ b/routing/balancer/test/endpoint-index.test.ts
@@ -5,22 +5,22 @@
 
 const SEED = Number(process.env['FUZZ_SEED'] ?? 12)
 const SIZE = 12
-const SUBJECTS = 6
+const PREFIXES = 6
 
 type Step = { type: 'usable', index: number, isUsable: boolean } | { type: 'move', index: number, to: number } |
-  { type: 'note', index: number, subject: number } | { type: 'ended', index: number } | { type: 'forget', index: number }
+  { type: 'record', index: number, prefix: number } | { type: 'ended', index: number } | { type: 'forget', index: number }
 
 const index = fc.integer({ min: 0, max: SIZE - 1 })
 const step: fc.Arbitrary<Step> = fc.oneof(
   fc.record({ type: fc.constant('usable' as const), index, isUsable: fc.boolean() }),
   fc.record({ type: fc.constant('move' as const), index, to: fc.integer({ min: 0, max: 3 }) }),
-  fc.record({ type: fc.constant('note' as const), index, subject: fc.integer({ min: 0, max: SUBJECTS - 1 }) }),
+  fc.record({ type: fc.constant('record' as const), index, prefix: fc.integer({ min: 0, max: PREFIXES - 1 }) }),
   fc.record({ type: fc.constant('ended' as const), index }),
   fc.record({ type: fc.constant('forget' as const), index })
 )
 
 /** A prompt of such a length that an endpoint can cache three of them. */
-const promptOf = (subject: number) => [{ id: `s-${subject}`, tokens: 60_000 }]
+const promptOf = (prefix: number) => [{ id: `s-${prefix}`, tokens: 60_000 }]
 
 /** Tests compare names: printing a difference between endpoint objects would take minutes. */
 const namesOf = (endpoints: Iterable<EndpointState>) => [...endpoints].map(({ description }) => description.incarnation)
@@ -28,7 +28,7 @@
 function apply (fleet: EndpointFixture, usable: Set<EndpointState>, taken: Step): void {
   const endpoint = fleet.endpoints[taken.index]
   if (endpoint === undefined) return
-  if (taken.type === 'note') endpoint.prefixCache.record(promptOf(taken.subject), 0)
+  if (taken.type === 'record') endpoint.prefixCache.record(promptOf(taken.prefix), 0)
   if (taken.type === 'forget') fleet.index.forget(endpoint)
   if (taken.type === 'ended') endpoint.end(endpoint.begin({ prompt: [], unreadTokens: 0, urgency: 0, pauseSensitivity: 0, isPauseSensitive: false }, 0), 'ended', 0)
   if (taken.type === 'move') {
@@ -55,8 +55,8 @@
         expect(namesOf(members.items)).toEqual(namesOf(there))
         expect(namesOf(affinityRing.items)).toEqual(namesOf([...there].sort((left, right) => left.affinityPoint - right.affinityPoint)))
       }
-      for (let subject = 0; subject < SUBJECTS; subject += 1) {
-        const prompt = promptOf(subject)
+      for (let prefix = 0; prefix < PREFIXES; prefix += 1) {
+        const prompt = promptOf(prefix)
         const holders = fleet.index.prefixHolders.find({ prompt, limit: SIZE, isAllowed: () => true, random: () => 0 })
         expect(namesOf(holders).sort()).toEqual(
           namesOf(fleet.endpoints.filter(({ prefixCache }) => prefixCache.cachedTokens(prompt) > 0)).sort()
--- a/routing/balancer/test/engine-memory.test.ts
+++ b/routing/balancer/test/engine-memory.test.ts
@@ -4,7 +4,9 @@
   findMemoryRefusalReason, type ChoiceRequest, type PromptPart
 } from '@gullwall/routing.balancer'
 
-const promptOf = (subject: string, own = 2900): PromptPart[] => [{ id: subject, tokens: 6300 }, { id: `own ${subject}`, tokens: own }]
+const promptOf = (sharedPrefixId: string, own = 2900): PromptPart[] => (
+  [{ id: sharedPrefixId, tokens: 6300 }, { id: `own ${sharedPrefixId}`, tokens: own }]
+)
 const engine = (index = 0) => new EndpointState({
   incarnation: `i-${index}`, service: 'lm', address: `127.0.0.1:${index}`, dataCentre: 'dc1', slots: 64
 }, 100_000)
@@ -40,15 +42,15 @@
     expect(inFlight.tokensWith(NO_MEMORY_USE)).toBe(0)
   })
 
-  it.each([5, 20, 40])('is estimated to within a fifth for %i prefixes that 30 entries share', (subjects) => {
+  it.each([5, 20, 40])('is estimated to within a fifth for %i prefixes that 30 entries share', (prefixes) => {
     let others = NO_MEMORY_USE
     for (let entry = 0; entry < 30; entry += 1) {
       const inFlight = new InFlightMemory()
-      for (let index = 0; index < 4; index += 1) inFlight.add(requestSizeOf(promptOf(`subject ${(entry * 4 + index) % subjects}`), 0))
+      for (let index = 0; index < 4; index += 1) inFlight.add(requestSizeOf(promptOf(`subject ${(entry * 4 + index) % prefixes}`), 0))
       others = addMemoryUse(others, inFlight.use)
     }
     const shared = new InFlightMemory().tokensWith(others) - 120 * 2900
-    expect(Math.abs(shared / (subjects * 6300) - 1)).toBeLessThan(0.2)
+    expect(Math.abs(shared / (prefixes * 6300) - 1)).toBeLessThan(0.2)
   })
 
   it('is released once when an attempt ends', () => {
--- a/routing/balancer/test/memory-simulation.test.ts
+++ b/routing/balancer/test/memory-simulation.test.ts
@@ -20,7 +20,7 @@
 const EXCHANGE_MS = 60
 /** The time that a request waits at its gateway for an engine with room. */
 const MAX_WAIT_MS = 375
-const SUBJECTS = 240
+const SHARED_PREFIXES = 240
 
 interface Arrival extends EngineRequest {
   at: number
@@ -37,7 +37,7 @@
   queued: number
   inTime: number
   /** Prefilled tokens, in thousands. */
-  readTokens: number
+  prefilledTokens: number
 }
 
 /** Generates arrivals: prompts of realistic sizes, answers of 25 to 280 tokens, estimates that are right at the median. */
@@ -54,7 +54,7 @@
       at,
       tier,
       urgency: 3 * tier,
-      subject: `subject-${Math.floor(SUBJECTS * random() ** 2)}`,
+      sharedPrefixId: `subject-${Math.floor(SHARED_PREFIXES * random() ** 2)}`,
       sharedTokens: 6300,
       ownTokens: Math.round(2900 * (0.5 + random())),
       outputTokens,
@@ -65,8 +65,8 @@
   return arrivals
 }
 
-const promptOf = ({ subject, sharedTokens, id, ownTokens }: Arrival): PromptPart[] => (
-  [{ id: subject, tokens: sharedTokens }, { id: `own-${id}`, tokens: ownTokens }]
+const promptOf = ({ sharedPrefixId, sharedTokens, id, ownTokens }: Arrival): PromptPart[] => (
+  [{ id: sharedPrefixId, tokens: sharedTokens }, { id: `own-${id}`, tokens: ownTokens }]
 )
 
 /** Creates the endpoints as one gateway sees them. */
@@ -113,7 +113,7 @@
       preempted: share(this.finished.filter(({ wasPreempted }) => wasPreempted).length),
       queued: share(this.finished.filter(({ queuedMs }) => queuedMs > 100).length),
       inTime: share(this.finished.filter(({ firstMs }) => firstMs <= TARGET_MS).length),
-      readTokens: Math.round(this.engines.reduce((sum, { readTokens }) => sum + readTokens, 0) / 1000)
+      prefilledTokens: Math.round(this.engines.reduce((sum, { prefilledTokens }) => sum + prefilledTokens, 0) / 1000)
     }
   }
 
@@ -201,7 +201,7 @@
     preempted: mean('preempted'),
     queued: mean('queued'),
     inTime: mean('inTime'),
-    readTokens: mean('readTokens')
+    prefilledTokens: mean('prefilledTokens')
   }
 }
 
--- a/routing/balancer/test/simulated-engine.ts
+++ b/routing/balancer/test/simulated-engine.ts
@@ -3,7 +3,7 @@
 export interface EngineRequest {
   id: number
   urgency: number
-  subject: string
+  sharedPrefixId: string
   sharedTokens: number
   ownTokens: number
   outputTokens: number
@@ -26,13 +26,13 @@
   wasPreempted: boolean
 }
 
-const READ_TOKENS_PER_MS = 36
+const PREFILL_TOKENS_PER_MS = 36
 const STEP_TOKENS = 2048
 const STEP_MS = 10
 
 export class MemoryEngine {
   /** Prefilled tokens, including repeated prefill. */
-  readTokens = 0
+  prefilledTokens = 0
   preemptions = 0
   private waiting: Run[] = []
   private running: Run[] = []
@@ -52,8 +52,8 @@
     const ended: FinishedRun[] = []
     while (this.stepEndsAt <= now) {
       this.admit(this.stepEndsAt)
-      const readTokens = this.read()
-      this.stepEndsAt += STEP_MS + readTokens / READ_TOKENS_PER_MS
+      const prefilledTokens = this.prefill()
+      this.stepEndsAt += STEP_MS + prefilledTokens / PREFILL_TOKENS_PER_MS
       for (const run of [...this.running]) this.makeToken(run, begun, ended)
       this.makeRoom()
     }
@@ -77,25 +77,25 @@
     this.waiting.sort((left, right) => left.request.urgency - right.request.urgency || left.arrivedAt - right.arrivedAt)
     for (let next = this.waiting[0]; next !== undefined && this.running.length < this.slots; next = this.waiting[0]) {
       const { request } = next
-      const isShared = this.running.some((run) => run.request.subject === request.subject)
+      const isShared = this.running.some((run) => run.request.sharedPrefixId === request.sharedPrefixId)
       if (this.usedTokens + request.ownTokens + next.outputCount + (isShared ? 0 : request.sharedTokens) > this.memoryTokens) return
       this.waiting.shift()
-      next.unreadTokens = request.ownTokens + next.outputCount + (this.cached.has(request.subject) ? 0 : request.sharedTokens)
+      next.unreadTokens = request.ownTokens + next.outputCount + (this.cached.has(request.sharedPrefixId) ? 0 : request.sharedTokens)
       if (next.admittedAt < 0) next.admittedAt = now
-      this.cached.delete(request.subject)
-      this.cached.set(request.subject, request.sharedTokens)
+      this.cached.delete(request.sharedPrefixId)
+      this.cached.set(request.sharedPrefixId, request.sharedTokens)
       this.running.push(next)
     }
   }
 
-  private read (): number {
+  private prefill (): number {
     let budget = STEP_TOKENS
     for (const run of this.running) {
       const tokens = Math.min(budget, run.unreadTokens)
       run.unreadTokens -= tokens
       budget -= tokens
     }
-    this.readTokens += STEP_TOKENS - budget
+    this.prefilledTokens += STEP_TOKENS - budget
     return STEP_TOKENS - budget
   }
 
@@ -107,20 +107,20 @@
       this.preemptions += 1
       this.waiting.push(last)
     }
-    const used = new Set(this.running.map(({ request }) => request.subject))
-    let kept = [...this.cached].reduce((sum, [subject, tokens]) => sum + (used.has(subject) ? 0 : tokens), 0)
-    for (const [subject, tokens] of this.cached) {
-      if (this.usedTokens + kept <= this.memoryTokens) return
-      if (used.has(subject)) continue
-      this.cached.delete(subject)
-      kept -= tokens
+    const used = new Set(this.running.map(({ request }) => request.sharedPrefixId))
+    let evictableTokens = [...this.cached].reduce((sum, [sharedPrefixId, tokens]) => sum + (used.has(sharedPrefixId) ? 0 : tokens), 0)
+    for (const [sharedPrefixId, tokens] of this.cached) {
+      if (this.usedTokens + evictableTokens <= this.memoryTokens) return
+      if (used.has(sharedPrefixId)) continue
+      this.cached.delete(sharedPrefixId)
+      evictableTokens -= tokens
     }
   }
 
   /** The tokens of running requests, which can't be evicted. */
   private get usedTokens (): number {
-    const subjects = new Map(this.running.map(({ request }) => [request.subject, request.sharedTokens]))
-    const shared = [...subjects.values()].reduce((sum, tokens) => sum + tokens, 0)
+    const sharedPrefixes = new Map(this.running.map(({ request }) => [request.sharedPrefixId, request.sharedTokens]))
+    const shared = [...sharedPrefixes.values()].reduce((sum, tokens) => sum + tokens, 0)
     return shared + this.running.reduce((sum, { request, outputCount }) => sum + request.ownTokens + outputCount, 0)
   }
 }
