--- a/routing/balancer/test/endpoint-index.test.ts
+++ b/routing/balancer/test/endpoint-index.test.ts
@@ -30,7 +30,9 @@
   if (endpoint === undefined) return
   if (taken.type === 'record') endpoint.prefixCache.record(promptOf(taken.prefix), 0)
   if (taken.type === 'forget') fleet.index.forget(endpoint)
-  if (taken.type === 'ended') endpoint.end(endpoint.begin({ prompt: [], unreadTokens: 0, urgency: 0, pauseSensitivity: 0, isPauseSensitive: false }, 0), 'ended', 0)
+  if (taken.type === 'ended') {
+    endpoint.end(endpoint.begin({ prompt: [], unreadTokens: 0, urgency: 0, pauseSensitivity: 0, isPauseSensitive: false }, 0), 'ended', 0)
+  }
   if (taken.type === 'move') {
     endpoint.description = { ...endpoint.description, dataCentre: `dc${taken.to}` }
     fleet.index.setUsable(endpoint, usable.has(endpoint))
