--- a/routing/balancer/test/cross-region.test.ts
+++ b/routing/balancer/test/cross-region.test.ts
@@ -104,7 +104,9 @@
   it('has the same costs in one region as without regions', () => {
     const all = twoRegions()
     const withoutRegions = scoreEndpoints({ ...request, regions: undefined }, all, LATER)
-    expect(scoreEndpoints({ ...request, regions: { regionOf: () => 'one', crossRegionCostMs: undefined } }, all, LATER)).toEqual(withoutRegions)
+    expect(scoreEndpoints(
+      { ...request, regions: { regionOf: () => 'one', crossRegionCostMs: undefined } }, all, LATER
+    )).toEqual(withoutRegions)
     expect(withoutRegions.filter(({ isAffinityEndpoint }) => isAffinityEndpoint).length).toBe(1)
   })
 })
--- a/routing/balancer/test/memory-simulation.test.ts
+++ b/routing/balancer/test/memory-simulation.test.ts
@@ -5,7 +5,7 @@
 import {
   choose, EndpointState, NO_OTHERS_LOAD, OutputLengthEstimator, requestSizeOf, type ChoiceRequest, type PromptPart, type InFlightRequest
 } from '@gullwall/routing.balancer'
-import { MemoryEngine, type EngineRequest, type FinishedRun } from './simulated-engine.ts'
+import { SimulatedEngine, type EngineRequest, type FinishedRun } from './simulated-engine.ts'
 
 const SEED = Number(process.env['FUZZ_SEED'] ?? 31)
 /** These differ from the seeds with which the limits were chosen. */
@@ -78,9 +78,9 @@
 
 /** Simulates gateways that choose engines for the arrivals and receive each other's load each 60 ms. */
 class Simulation {
-  private readonly engines = Array.from({ length: ENGINES }, () => new MemoryEngine(SLOTS, MEMORY_TOKENS))
+  private readonly engines = Array.from({ length: ENGINES }, () => new SimulatedEngine(SLOTS, MEMORY_TOKENS))
   private readonly views = Array.from({ length: GATEWAYS }, enginesOf)
-  private readonly outputs = new OutputLengthEstimator()
+  private readonly outputLengths = new OutputLengthEstimator()
   private readonly inFlight = new Map<number, { inFlightRequest: InFlightRequest, endpoint: EndpointState }>()
   private readonly finished: FinishedRun[] = []
   private sent = 0
@@ -120,8 +120,8 @@
   private decide (arrival: Arrival, now: number): void {
     const view = this.views[arrival.gateway] ?? []
     const prompt = promptOf(arrival)
-    this.outputs.record('ask', arrival)
-    const outputTokens = this.outputs.estimate('ask', arrival)
+    this.outputLengths.record('ask', arrival)
+    const outputTokens = this.outputLengths.estimate('ask', arrival)
     const request: ChoiceRequest = {
       prompt,
       dataCentre: 'dc1',
--- a/routing/balancer/test/simulated-engine.ts
+++ b/routing/balancer/test/simulated-engine.ts
@@ -30,7 +30,7 @@
 const STEP_TOKENS = 2048
 const STEP_MS = 10
 
-export class MemoryEngine {
+export class SimulatedEngine {
   /** Prefilled tokens, including repeated prefill. */
   prefilledTokens = 0
   preemptions = 0
