--- a/routing/balancer/src/candidate-set.ts
+++ b/routing/balancer/src/candidate-set.ts
@@ -1,9 +1,8 @@
 /**
- * Which endpoints are weighed for one request. On a small fleet these are all. Weighing all of a large one took 5.4 ms for
- * 3,000 endpoints and 31 ms for 12,000, so that of those come only the few that the choice could fall on: some that keep the
- * prompt, the home of its subject, and a sample of the rest, half of it from the own data centre. Of 16 endpoints taken at
- * random the best is among the first tenth of all with a probability of 0.81, and reading a prompt anew costs more than
- * what lies between these. Twice as many in the sample took 1.7 times as long at 3,000 endpoints as weighing 36.
+ * Selects the endpoints that are scored for one request: all endpoints of a small fleet. Scoring all of a large fleet takes too long
+ * (31 ms for 12,000 endpoints). There, only some endpoints with the prompt cached, the affinity endpoint and a random sample of the
+ * others are scored, half of the sample from the entry's data centre. The best of 16 random endpoints is in the top tenth with a
+ * probability of 0.81, and the remaining difference in cost is smaller than the prefill of a prompt.
  */
 import { canAccept, sharedPrefixIdOf, type ChoiceRequest } from './choose.ts'
 import { type EndpointPool, type DataCentrePool } from './endpoint-pool.ts'
@@ -12,135 +11,137 @@
 import { type PrefixHolders } from './prefix-holders.ts'
 import { SortedList } from './sorted-list.ts'
 
-/** Up to so many endpoints are all weighed: the users' fleets have up to 41, and 96 take 0.15 ms. */
+/** A fleet of at most this many endpoints is scored completely; that takes 0.15 ms for 96. */
 export const SCORE_ALL_LIMIT = 96
-/** So many that keep most of the prompt are weighed; what waits there tells between them. */
-const KEEPERS = 8
-/** So many of the rest come from the own data centre. */
-const NEAR_SAMPLE = 8
-/** And so many from all data centres. */
-const FAR_SAMPLE = 8
-/** For one that may have the request, so many are looked at. */
-const LOOKS_PER_FOUND = 4
-/** So many are looked at where none of those was found: on a fleet of which one in a hundred has room, one is found 9 times in 10. */
-const LAST_LOOKS = 256
+/** The number of endpoints with the longest cached prefix to score; the load decides between them. */
+const PREFIX_HOLDERS = 8
+/** The sample size from the entry's data centre. */
+const LOCAL_SAMPLE = 8
+/** The sample size from all data centres. */
+const GLOBAL_SAMPLE = 8
+/** The number of random draws for each endpoint of a sample, since some can't accept the request. */
+const DRAWS_PER_ENDPOINT = 4
+/** The number of draws per data centre if nothing was found. If 1 % of the endpoints have room, 9 of 10 searches succeed. */
+const FALLBACK_DRAWS = 256
 
-/** The endpoints among which a request is to go. */
+/** The endpoints that a request can choose from, and the rules that exclude some of them. */
 export interface CandidateScope {
   pool: EndpointPool
   prefixHolders: PrefixHolders
-  /** Whether anything may be sent to a data centre for the request; asked once for each. */
+  /** Whether the request may be sent to a data centre; called once for each data centre. */
   isDataCentreAllowed: (dataCentre: string) => boolean
-  /** Whether an endpoint may have the request, whatever it costs. */
+  /** Whether the request may be sent to an endpoint. */
   isAllowed: (endpoint: EndpointState) => boolean
-  /** From 0 to 1. */
+  /** Returns a random number from 0 to 1. */
   random: () => number
 }
 
 export interface CandidateSet {
   endpoints: readonly EndpointState[]
-  /** The home of the prompt's subject in each region; not given where all are weighed. */
+  /** The affinity endpoint of the prompt in each region; undefined if all endpoints are scored. */
   affinityEndpoints: readonly EndpointState[] | undefined
-  /** From which parts of the prompt can be copied. */
+  /** Endpoints from which parts of the prompt can be copied. */
   copySources: readonly EndpointState[]
 }
 
-/** Gives the endpoints to weigh for a request. */
-export function selectCandidates (demand: ChoiceRequest, choosable: CandidateScope): CandidateSet {
-  const places = [...choosable.pool.dataCentrePools].filter(({ dataCentre }) => choosable.isDataCentreAllowed(dataCentre))
-  const count = places.reduce((sum, { members }) => sum + members.items.length, 0)
-  return count <= SCORE_ALL_LIMIT ? allOf(choosable, places) : someOf(demand, choosable, places)
+/** Returns the endpoints to score for a request. */
+export function selectCandidates (request: ChoiceRequest, scope: CandidateScope): CandidateSet {
+  const pools = [...scope.pool.dataCentrePools].filter(({ dataCentre }) => scope.isDataCentreAllowed(dataCentre))
+  const count = pools.reduce((sum, { members }) => sum + members.items.length, 0)
+  return count <= SCORE_ALL_LIMIT ? allCandidates(scope, pools) : sampledCandidates(request, scope, pools)
 }
 
-function allOf ({ pool, isAllowed }: CandidateScope, places: readonly DataCentrePool[]): CandidateSet {
-  const allowed = new Set(places.map(({ dataCentre }) => dataCentre))
+function allCandidates ({ pool, isAllowed }: CandidateScope, pools: readonly DataCentrePool[]): CandidateSet {
+  const allowed = new Set(pools.map(({ dataCentre }) => dataCentre))
   const isWhole = allowed.size === [...pool.dataCentrePools].length
-  const members = isWhole ? pool.members.items : bySeniority(places)
+  const members = isWhole ? pool.members.items : byRegistrationOrder(pools)
   const endpoints = members.filter(isAllowed)
   return { endpoints, affinityEndpoints: undefined, copySources: endpoints }
 }
 
-function bySeniority (places: readonly DataCentrePool[]): EndpointState[] {
-  return places.flatMap(({ members }) => members.items).sort((left, right) => left.registrationOrder - right.registrationOrder)
+function byRegistrationOrder (pools: readonly DataCentrePool[]): EndpointState[] {
+  return pools.flatMap(({ members }) => members.items).sort((left, right) => left.registrationOrder - right.registrationOrder)
 }
 
-function someOf (demand: ChoiceRequest, choosable: CandidateScope, places: readonly DataCentrePool[]): CandidateSet {
-  const { pool, prefixHolders, random } = choosable
-  const accepts = (endpoint: EndpointState) => isIn(pool, places, endpoint) && choosable.isAllowed(endpoint)
-  const sources = [...prefixHolders.find({ prompt: demand.prompt, limit: KEEPERS, accepts, random })]
-  const homes = byRegionOf(demand, places).flatMap((group) => homeOf(demand, choosable, group) ?? [])
-  const found = new Set([...sources, ...homes].filter((endpoint) => canAccept(demand, endpoint)))
-  new Sampler(demand, choosable, found).sampleAll(places)
-  return { endpoints: [...found], affinityEndpoints: homes, copySources: sources }
+function sampledCandidates (request: ChoiceRequest, scope: CandidateScope, pools: readonly DataCentrePool[]): CandidateSet {
+  const { pool, prefixHolders, random } = scope
+  const isAllowed = (endpoint: EndpointState) => isInPools(pool, pools, endpoint) && scope.isAllowed(endpoint)
+  const copySources = [...prefixHolders.find({ prompt: request.prompt, limit: PREFIX_HOLDERS, isAllowed, random })]
+  const affinityEndpoints = groupPoolsByRegion(request, pools).flatMap((group) => selectAffinityEndpoint(request, scope, group) ?? [])
+  const found = new Set([...copySources, ...affinityEndpoints].filter((endpoint) => canAccept(request, endpoint)))
+  new Sampler(request, scope, found).sampleAll(pools)
+  return { endpoints: [...found], affinityEndpoints, copySources }
 }
 
-/** The places of each region; all together where there is only one. */
-function byRegionOf ({ regions }: ChoiceRequest, places: readonly DataCentrePool[]): DataCentrePool[][] {
+/** Groups data centre pools by region; there is one group if the deployment has one region. */
+function groupPoolsByRegion ({ regions }: ChoiceRequest, pools: readonly DataCentrePool[]): DataCentrePool[][] {
   const groups = new Map<string, DataCentrePool[]>()
-  for (const place of places) {
-    const region = regions?.regionOf(place.dataCentre) ?? ''
-    groups.set(region, [...groups.get(region) ?? [], place])
+  for (const dataCentrePool of pools) {
+    const region = regions?.regionOf(dataCentrePool.dataCentre) ?? ''
+    groups.set(region, [...groups.get(region) ?? [], dataCentrePool])
   }
   return [...groups.values()]
 }
 
-/** The home of a subject is among the reserved engines for a sensitive stream, and among the others for all else. */
-function homeOf (demand: ChoiceRequest, { pool, isAllowed }: CandidateScope, places: readonly DataCentrePool[]): EndpointState | undefined {
-  const subject = sharedPrefixIdOf(demand.prompt)
-  if (subject === undefined) return undefined
-  const { isPauseSensitive, reserved } = demand
-  const rings = places.map(({ affinityRing }) => affinityRing)
-  if (reserved.size === 0) return findAffinityEndpoint(subject, rings, isAllowed)
-  const fits = (endpoint: EndpointState) => reserved.has(endpoint) === isPauseSensitive && isAllowed(endpoint)
-  if (!isPauseSensitive || reserved.size > SCORE_ALL_LIMIT) return findAffinityEndpoint(subject, rings, fits)
-  // Few among many would rarely be near a point of the ring.
+/** Returns the affinity endpoint: a reserved engine for a pause-sensitive stream, another engine for any other request. */
+function selectAffinityEndpoint (
+  request: ChoiceRequest, { pool, isAllowed }: CandidateScope, pools: readonly DataCentrePool[]
+): EndpointState | undefined {
+  const sharedPrefixId = sharedPrefixIdOf(request.prompt)
+  if (sharedPrefixId === undefined) return undefined
+  const { isPauseSensitive, reserved } = request
+  const rings = pools.map(({ affinityRing }) => affinityRing)
+  if (reserved.size === 0) return findAffinityEndpoint(sharedPrefixId, rings, isAllowed)
+  const isCandidate = (endpoint: EndpointState) => reserved.has(endpoint) === isPauseSensitive && isAllowed(endpoint)
+  if (!isPauseSensitive || reserved.size > SCORE_ALL_LIMIT) return findAffinityEndpoint(sharedPrefixId, rings, isCandidate)
+  // A few reserved engines among many endpoints would rarely be near the point on the common ring.
   const ring = new SortedList<EndpointState>((endpoint) => endpoint.affinityPoint)
-  for (const endpoint of reserved) if (isIn(pool, places, endpoint)) ring.add(endpoint)
-  return findAffinityEndpoint(subject, [ring], isAllowed)
+  for (const endpoint of reserved) if (isInPools(pool, pools, endpoint)) ring.add(endpoint)
+  return findAffinityEndpoint(sharedPrefixId, [ring], isAllowed)
 }
 
-/** Whether an endpoint takes new work in one of some places. One that is gone may still be reserved or known to keep a part. */
-function isIn (pool: EndpointPool, places: readonly DataCentrePool[], endpoint: EndpointState): boolean {
-  const place = pool.dataCentrePoolOf(endpoint)
-  return place !== undefined && places.includes(place)
+/** Whether an endpoint is in one of some data centre pools. A removed endpoint may still be reserved or listed as prefix holder. */
+function isInPools (pool: EndpointPool, pools: readonly DataCentrePool[], endpoint: EndpointState): boolean {
+  const dataCentrePool = pool.dataCentrePoolOf(endpoint)
+  return dataCentrePool !== undefined && pools.includes(dataCentrePool)
 }
 
-/** Takes endpoints at random that may have a request and have room for it. */
+/** Adds random endpoints that can accept a request to the candidates. */
 class Sampler {
   constructor (
-    private readonly demand: ChoiceRequest, private readonly choosable: CandidateScope, private readonly found: Set<EndpointState>
+    private readonly request: ChoiceRequest, private readonly scope: CandidateScope, private readonly found: Set<EndpointState>
   ) {}
 
-  sampleAll (places: readonly DataCentrePool[]): void {
-    const { demand: { dataCentre, isPauseSensitive, reserved }, choosable: { pool }, found } = this
-    const near = places.find((place) => place.dataCentre === dataCentre)
-    if (near !== undefined) this.sample(near.members.items, near.members.items.length, NEAR_SAMPLE)
-    if (isPauseSensitive && reserved.size > 0) this.sample(pool.byReservationRank.items, reserved.size, NEAR_SAMPLE, places)
-    for (const { members: { items } } of places) this.sample(items, items.length, this.shareOf(items.length, places))
-    if (found.size === 0) for (const { members: { items } } of places) this.sample(items, items.length, 1, places, LAST_LOOKS)
+  sampleAll (pools: readonly DataCentrePool[]): void {
+    const { request: { dataCentre, isPauseSensitive, reserved }, scope: { pool }, found } = this
+    const local = pools.find((dataCentrePool) => dataCentrePool.dataCentre === dataCentre)
+    if (local !== undefined) this.sample(local.members.items, local.members.items.length, LOCAL_SAMPLE)
+    if (isPauseSensitive && reserved.size > 0) this.sample(pool.byReservationRank.items, reserved.size, LOCAL_SAMPLE, pools)
+    for (const { members: { items } } of pools) this.sample(items, items.length, this.sampleSizeOf(items.length, pools))
+    if (found.size === 0) for (const { members: { items } } of pools) this.sample(items, items.length, 1, pools, FALLBACK_DRAWS)
   }
 
-  /** How many of the sample from all places are of a place with so many endpoints; the rounding is left to chance. */
-  private shareOf (members: number, places: readonly DataCentrePool[]): number {
-    const all = places.reduce((sum, place) => sum + place.members.items.length, 0)
-    return Math.floor(FAR_SAMPLE * members / all + this.choosable.random())
+  /** Returns the sample size for a data centre with some number of endpoints, in proportion to all; it is rounded at random. */
+  private sampleSizeOf (members: number, pools: readonly DataCentrePool[]): number {
+    const all = pools.reduce((sum, dataCentrePool) => sum + dataCentrePool.members.items.length, 0)
+    return Math.floor(GLOBAL_SAMPLE * members / all + this.scope.random())
   }
 
-  /** Takes so many of the first `among` endpoints of a list. */
+  /** Adds up to `count` of the first `among` endpoints of a list. */
   private sample (
-    list: readonly EndpointState[], among: number, count: number, within?: readonly DataCentrePool[], looks = LOOKS_PER_FOUND * count
+    list: readonly EndpointState[], among: number, count: number, within?: readonly DataCentrePool[], draws = DRAWS_PER_ENDPOINT * count
   ): void {
-    let left = count
-    for (let look = 0; look < looks && left > 0; look += 1) {
-      const endpoint = list[Math.floor(this.choosable.random() * Math.min(among, list.length))]
-      if (endpoint === undefined || !this.mayHave(endpoint)) continue
-      if (within !== undefined && !isIn(this.choosable.pool, within, endpoint)) continue
+    let missing = count
+    for (let draw = 0; draw < draws && missing > 0; draw += 1) {
+      const endpoint = list[Math.floor(this.scope.random() * Math.min(among, list.length))]
+      if (endpoint === undefined || !this.isSelectable(endpoint)) continue
+      if (within !== undefined && !isInPools(this.scope.pool, within, endpoint)) continue
       this.found.add(endpoint)
-      left -= 1
+      missing -= 1
     }
   }
 
-  private mayHave (endpoint: EndpointState): boolean {
-    return !this.found.has(endpoint) && canAccept(this.demand, endpoint) && this.choosable.isAllowed(endpoint)
+  private isSelectable (endpoint: EndpointState): boolean {
+    return !this.found.has(endpoint) && canAccept(this.request, endpoint) && this.scope.isAllowed(endpoint)
   }
 }
--- a/routing/balancer/src/cross-region.ts
+++ b/routing/balancer/src/cross-region.ts
@@ -1,72 +1,72 @@
 /**
- * What the choice makes of regions: requests stay in their own while it has room, each prompt has one home in every region,
- * and engines copy from engines of their own region only.
+ * Regions in the choice of an endpoint: a request stays in its own region while that has room, a prompt has one affinity endpoint
+ * in each region, and engines copy prompt parts only from engines of their own region.
  */
 import { type Candidate, type ChoiceRequest } from './choose.ts'
 import { type EndpointState } from './endpoint-state.ts'
 
-/** What the choice knows of regions for one request; a deployment in one region gives none. */
+/** The regions as seen by one request. */
 export interface RegionContext {
   regionOf: (dataCentre: string) => string
   /**
-   * What it costs to have this request answered in another region, in ms: time, and bytes at their price; none where the link
-   * between regions has no room for it now.
+   * The cost of sending this request to another region, in ms: the round trip and a price for its bytes. Undefined if the link
+   * between regions has no capacity for it now.
    */
   crossRegionCostMs: number | undefined
 }
 
-/** Why a candidate of another region was preferred. */
+/** The comparison that led to an endpoint in another region. */
 export interface CrossRegionChoice {
   region: string
-  /** What the way there and back was taken to cost, in ms. */
+  /** The part of the cost that is due to the other region, in ms. */
   costMs: number
-  /** What the best endpoint of the own region would have cost; none where it had none. */
+  /** The lowest cost in the request's own region; undefined if no endpoint there can accept the request. */
   localCost: number | undefined
 }
 
 /**
- * How much worse its own region must be before a request leaves it at all, in ms: more than the cost of an engine that is
- * not the home of a prompt (200), so that the ordinary differences between engines send nothing over the link. A first event
- * that is late for half (750) and an engine with five sixths of its slots taken (1020) are well above.
+ * The fixed cost of another region, in ms. It exceeds the cost of an engine that is not the affinity endpoint (200), so that the
+ * ordinary differences between engines send no request over the link. It is well below the cost of a first event that is late with
+ * a probability of a half (750), and of an engine with five sixths of its slots taken (1020).
  */
-const LEAVING_MS = 300
+const CROSS_REGION_MS = 300
 
 function regionOf ({ regions }: ChoiceRequest, { description }: EndpointState): string {
   return regions?.regionOf(description.dataCentre) ?? ''
 }
 
-function isOtherRegion (demand: ChoiceRequest, endpoint: EndpointState): boolean {
-  return demand.regions !== undefined && regionOf(demand, endpoint) !== demand.regions.regionOf(demand.dataCentre)
+function isOtherRegion (request: ChoiceRequest, endpoint: EndpointState): boolean {
+  return request.regions !== undefined && regionOf(request, endpoint) !== request.regions.regionOf(request.dataCentre)
 }
 
-/** Whether the link between regions has room for the request, if it has to take it. */
-export function hasLinkCapacity (demand: ChoiceRequest, endpoint: EndpointState): boolean {
-  return demand.regions?.crossRegionCostMs !== undefined || !isOtherRegion(demand, endpoint)
+/** Whether an endpoint is in the request's own region, or the link to other regions has capacity for the request. */
+export function hasLinkCapacity (request: ChoiceRequest, endpoint: EndpointState): boolean {
+  return request.regions?.crossRegionCostMs !== undefined || !isOtherRegion(request, endpoint)
 }
 
-/** What the way to an endpoint costs, in ms. */
-export function distanceCostMs (demand: ChoiceRequest, endpoint: EndpointState, otherDataCentreMs: number): number {
-  if (endpoint.description.dataCentre === demand.dataCentre) return 0
-  return isOtherRegion(demand, endpoint) ? LEAVING_MS + (demand.regions?.crossRegionCostMs ?? 0) : otherDataCentreMs
+/** Returns the cost of the distance to an endpoint, in ms. */
+export function distanceCostMs (request: ChoiceRequest, endpoint: EndpointState, otherDataCentreMs: number): number {
+  if (endpoint.description.dataCentre === request.dataCentre) return 0
+  return isOtherRegion(request, endpoint) ? CROSS_REGION_MS + (request.regions?.crossRegionCostMs ?? 0) : otherDataCentreMs
 }
 
 /**
- * Whether engines are reserved in the region of an endpoint. Where none are, streams must not leave for those that another
- * region reserves: with all of them gone, their own region would never reserve any.
+ * Whether engines are reserved in the region of an endpoint. Without a reservation in their own region, streams must not prefer the
+ * reserved engines of another region: their own region would then have no such streams, and would never reserve an engine.
  */
-export function hasReservedInRegion (demand: ChoiceRequest, endpoint: EndpointState): boolean {
-  if (demand.regions === undefined) return demand.reserved.size > 0
-  const region = regionOf(demand, endpoint)
-  for (const reserved of demand.reserved) if (regionOf(demand, reserved) === region) return true
+export function hasReservedInRegion (request: ChoiceRequest, endpoint: EndpointState): boolean {
+  if (request.regions === undefined) return request.reserved.size > 0
+  const region = regionOf(request, endpoint)
+  for (const reserved of request.reserved) if (regionOf(request, reserved) === region) return true
   return false
 }
 
-/** The endpoints of each region; all together where there is only one. */
-export function groupByRegion (demand: ChoiceRequest, endpoints: readonly EndpointState[]): Map<string, readonly EndpointState[]> {
-  if (demand.regions === undefined) return new Map([['', endpoints]])
+/** Groups endpoints by region; there is one group if the deployment has one region. */
+export function groupByRegion (request: ChoiceRequest, endpoints: readonly EndpointState[]): Map<string, readonly EndpointState[]> {
+  if (request.regions === undefined) return new Map([['', endpoints]])
   const groups = new Map<string, EndpointState[]>()
   for (const endpoint of endpoints) {
-    const region = regionOf(demand, endpoint)
+    const region = regionOf(request, endpoint)
     const group = groups.get(region)
     if (group === undefined) groups.set(region, [endpoint])
     else group.push(endpoint)
@@ -74,23 +74,23 @@
   return groups
 }
 
-/** Finds something once for each region, and gives it for any endpoint there. */
+/** Computes a value once for each region; the returned function gives the value for the region of an endpoint. */
 export function findPerRegion<T> (
-  demand: ChoiceRequest, endpoints: readonly EndpointState[], find: (group: readonly EndpointState[]) => T
+  request: ChoiceRequest, endpoints: readonly EndpointState[], find: (group: readonly EndpointState[]) => T
 ): (endpoint: EndpointState) => T | undefined {
-  const found = new Map([...groupByRegion(demand, endpoints)].map(([region, group]) => [region, find(group)]))
-  return (endpoint) => found.get(regionOf(demand, endpoint))
+  const values = new Map([...groupByRegion(request, endpoints)].map(([region, group]) => [region, find(group)]))
+  return (endpoint) => values.get(regionOf(request, endpoint))
 }
 
-/** Why the chosen candidate leaves the request's region; undefined where it stays. */
+/** Explains the choice of an endpoint in another region; undefined if the request stays in its own region. */
 export function crossRegionChoiceOf (
-  demand: ChoiceRequest, chosen: Candidate, candidates: readonly Candidate[]
+  request: ChoiceRequest, chosen: Candidate, candidates: readonly Candidate[]
 ): CrossRegionChoice | undefined {
-  if (!isOtherRegion(demand, chosen.endpoint)) return undefined
-  const staying = candidates.filter(({ endpoint }) => !isOtherRegion(demand, endpoint)).map(({ cost }) => cost)
+  if (!isOtherRegion(request, chosen.endpoint)) return undefined
+  const localCosts = candidates.filter(({ endpoint }) => !isOtherRegion(request, endpoint)).map(({ cost }) => cost)
   return {
-    region: regionOf(demand, chosen.endpoint),
-    costMs: LEAVING_MS + (demand.regions?.crossRegionCostMs ?? 0),
-    localCost: staying.length === 0 ? undefined : Math.min(...staying)
+    region: regionOf(request, chosen.endpoint),
+    costMs: CROSS_REGION_MS + (request.regions?.crossRegionCostMs ?? 0),
+    localCost: localCosts.length === 0 ? undefined : Math.min(...localCosts)
   }
 }
--- a/routing/balancer/src/endpoint-pool.ts
+++ b/routing/balancer/src/endpoint-pool.ts
@@ -1,4 +1,4 @@
-/** The endpoints of one service that take new work, in the orders that a choice needs; kept up to date one by one. */
+/** The endpoints of one service that accept new requests, sorted in the orders that the choice needs. */
 import { type EndpointState } from './endpoint-state.ts'
 import { EngineTotals } from './engine-totals.ts'
 import { SortedList } from './sorted-list.ts'
@@ -8,7 +8,7 @@
   dataCentre: string
   /** In the order in which they became known. */
   readonly members: SortedList<EndpointState>
-  /** In the order in which they follow each other on the ring of homes. */
+  /** In their order on the affinity ring. */
   readonly affinityRing: SortedList<EndpointState>
 }
 
@@ -18,57 +18,57 @@
   /** In the order in which they are reserved. */
   readonly byReservationRank = new SortedList<EndpointState>((endpoint) => endpoint.reservationRank)
   readonly totals = new EngineTotals()
-  /** Grows with every change of its members. */
+  /** Increases with every change of the members. */
   version = 0
-  private readonly placesByName = new Map<string, DataCentrePool>()
-  private readonly placeOfMember = new Map<EndpointState, DataCentrePool>()
+  private readonly poolsByDataCentre = new Map<string, DataCentrePool>()
+  private readonly poolOfMember = new Map<EndpointState, DataCentrePool>()
 
   get size (): number {
-    return this.placeOfMember.size
+    return this.poolOfMember.size
   }
 
   get dataCentrePools (): IterableIterator<DataCentrePool> {
-    return this.placesByName.values()
+    return this.poolsByDataCentre.values()
   }
 
-  /** The place of an endpoint that takes new work. */
+  /** Returns the pool of the data centre that a member belongs to; undefined if the endpoint is no member. */
   dataCentrePoolOf (endpoint: EndpointState): DataCentrePool | undefined {
-    return this.placeOfMember.get(endpoint)
+    return this.poolOfMember.get(endpoint)
   }
 
-  /** Whether an endpoint is a member, in the data centre where it says to be. */
+  /** Whether an endpoint is a member, in the data centre of its present description. */
   isInCurrentDataCentre (endpoint: EndpointState): boolean {
-    return this.placeOfMember.get(endpoint)?.dataCentre === endpoint.description.dataCentre
+    return this.poolOfMember.get(endpoint)?.dataCentre === endpoint.description.dataCentre
   }
 
   add (endpoint: EndpointState): void {
-    if (this.placeOfMember.has(endpoint)) return
-    const place = this.placeNamed(endpoint.description.dataCentre)
-    for (const list of [this.members, this.byReservationRank, place.members, place.affinityRing]) list.add(endpoint)
-    this.placeOfMember.set(endpoint, place)
+    if (this.poolOfMember.has(endpoint)) return
+    const pool = this.poolForDataCentre(endpoint.description.dataCentre)
+    for (const list of [this.members, this.byReservationRank, pool.members, pool.affinityRing]) list.add(endpoint)
+    this.poolOfMember.set(endpoint, pool)
     this.totals.update(endpoint)
     this.version += 1
   }
 
   remove (endpoint: EndpointState): void {
-    const place = this.placeOfMember.get(endpoint)
-    if (place === undefined) return
-    for (const list of [this.members, this.byReservationRank, place.members, place.affinityRing]) list.remove(endpoint)
-    this.placeOfMember.delete(endpoint)
+    const pool = this.poolOfMember.get(endpoint)
+    if (pool === undefined) return
+    for (const list of [this.members, this.byReservationRank, pool.members, pool.affinityRing]) list.remove(endpoint)
+    this.poolOfMember.delete(endpoint)
     this.totals.remove(endpoint)
-    if (place.members.items.length === 0) this.placesByName.delete(place.dataCentre)
+    if (pool.members.items.length === 0) this.poolsByDataCentre.delete(pool.dataCentre)
     this.version += 1
   }
 
-  private placeNamed (dataCentre: string): DataCentrePool {
-    const known = this.placesByName.get(dataCentre)
+  private poolForDataCentre (dataCentre: string): DataCentrePool {
+    const known = this.poolsByDataCentre.get(dataCentre)
     if (known !== undefined) return known
-    const place: DataCentrePool = {
+    const pool: DataCentrePool = {
       dataCentre,
       members: new SortedList((endpoint) => endpoint.registrationOrder),
       affinityRing: new SortedList((endpoint) => endpoint.affinityPoint)
     }
-    this.placesByName.set(dataCentre, place)
-    return place
+    this.poolsByDataCentre.set(dataCentre, pool)
+    return pool
   }
 }
--- a/routing/balancer/src/endpoint-state.ts
+++ b/routing/balancer/src/endpoint-state.ts
@@ -1,83 +1,90 @@
-/** What one entry has seen of one incarnation of an endpoint. */
+/** The state of one incarnation of an endpoint, as one entry observes it. */
 import { InFlightMemory, NO_MEMORY_USE, requestSizeOf, type MemoryUse, type RequestSize } from './engine-memory.ts'
 import { PrefixCacheModel, type PromptPart } from './prefix-cache-model.ts'
 import { OutcomeObserver } from './outcome-observer.ts'
 import { PrefillObserver } from './prefill-observer.ts'
 import { hashName } from './rendezvous.ts'
 
-/** How an attempt ended, as far as it tells something of the endpoint. */
+/**
+ * What the end of an attempt shows about the endpoint. The verdict `ended` means that another process answered at its address, so
+ * that this incarnation has ended. The verdict `neutral` means that the end shows nothing about the endpoint.
+ */
 export type AttemptVerdict = 'good' | 'failed' | 'shed' | 'unreachable' | 'ended' | 'neutral'
 
 const FIRST_EJECTION_MS = 500
 const MAX_EJECTION_MS = 4000
+/** The weight of one attempt in the failure share. */
 const FAILURE_WEIGHT = 0.2
-/** With work under way and no byte for so long, an endpoint is taken to be silent, in ms. */
+/** An endpoint with requests in flight counts as silent after this time without a byte from it, in ms. */
 const SILENT_MS = 1200
-/** Nothing arrives while prompts are read; this is far slower than any engine reads them. */
-const SLOWEST_READ_TOKENS_PER_MS = 8
-/** The share of the engine's memory that is taken to hold parts; running requests need the rest. */
+/** An engine may send nothing during prefill. The time until it counts as silent allows for prefill at this low speed. */
+const MIN_PREFILL_TOKENS_PER_MS = 8
+/** The share of an engine's memory that is assumed to hold cached prompt parts; running requests need the rest. */
 const CACHE_SHARE = 0.6
 const DEFAULT_MEMORY_TOKENS = 400_000
 
-/** A prompt that was sent has been read after this time and that of what waits there, in ms. */
-const READ_WITHIN_MS = 600
+/** The prefill of a prompt counts as complete this long after the prefill of the backlog at the time of sending, in ms. */
+const PREFILL_MARGIN_MS = 600
 
-/** One attempt that is under way. */
+/** One attempt in flight. */
 export interface InFlightRequest {
   readonly startedAt: number
-  /** Prompt tokens that the endpoint had still to read when the attempt was sent. */
+  /** Prompt tokens that needed prefill when the attempt was sent. */
   readonly unreadTokens: number
-  /** Its rank at the endpoint; what has a lower one is read first. */
+  /** Its rank at the endpoint; requests with a lower rank go first. */
   readonly urgency: number
-  /** All tokens of the prompt; none of them may be kept there after all. */
+  /** All tokens of the prompt, since the endpoint may have none of them cached. */
   readonly promptTokens: number
+  /** The pause sensitivity of its stream; 0 if it is no stream or has no limit for pauses. */
   readonly pauseSensitivity: number
+  /** Whether it is a stream that prefill on the same engine would delay and that needs little prefill itself. */
   readonly isPauseSensitive: boolean
-  /** Prompt tokens that were to be read there before it. */
+  /** Prompt tokens whose prefill was queued ahead of it when it was sent. */
   readonly aheadTokens: number
   /** Whether the first event has arrived. */
   hasFirstEvent: boolean
-  /** When events last arrived, or the attempt was sent. */
+  /** The time of its latest events; before the first, the time of sending. */
   lastEventAt: number
 }
 
-/** Prompt tokens of one urgency that are probably not read yet. */
+/** Prompt tokens of one urgency whose prefill is probably not complete. */
 export interface UnreadTokens {
   urgency: number
   tokens: number
 }
 
-/** Work of other entries at an endpoint. */
+/** The load of the other entries at an endpoint. */
 export interface OthersLoad {
   readonly unread: readonly UnreadTokens[]
   readonly running: number
-  /** The strains of their streams, added up. */
+  /** The sum of the pause sensitivities of their streams. */
   readonly strain: number
-  /** Their streams that are sensitive to reading. */
+  /** The number of their pause-sensitive streams. */
   readonly sensitive: number
-  /** How many of them could not connect there lately, or met another process at its address. */
+  /** The number of entries that recently failed to connect there, or found another process at its address. */
   readonly unreachable: number
-  /** What they hold of the engine's memory; none from entries that do not tell. */
+  /** The memory that their requests take; undefined if no entry reports it. */
   readonly memory?: MemoryUse | undefined
 }
 
 export const NO_OTHERS_LOAD: OthersLoad = { unread: [], running: 0, strain: 0, sensitive: 0, unreachable: 0 }
 
-/** What is sent to an endpoint. */
+/** A request that is sent to an endpoint. */
 export interface SentPrompt {
   prompt: readonly PromptPart[]
   unreadTokens: number
   urgency: number
+  /** The pause sensitivity of its stream. */
   pauseSensitivity: number
-  /** Whether it is a stream that is sensitive to reading, and reads little itself. */
+  /** Whether it is a stream that prefill on the same engine would delay and that needs little prefill itself. */
   isPauseSensitive: boolean
-  /** How long its answer will probably be. */
+  /** The expected length of its answer, in tokens. */
   outputTokens?: number
 }
 
 export interface EndpointDescription {
   incarnation: string
-  /** Of an endpoint that may start again under its name. */
+  /** The name under which the endpoint can restart, if it can. */
   life?: { name: string } | undefined
   service: string
   address: string
@@ -85,56 +92,57 @@
   slots: number
 }
 
-/** Who is told of changes that a choice among many must not miss. */
+/** Receives the changes of an endpoint that an index of endpoints has to follow. */
 export interface EndpointWatcher {
-  /** It is taken to keep a part of prompts from now on. */
+  /** A prompt part counts as cached at the endpoint from now on. */
   onPartCached: (endpoint: EndpointState, part: string) => void
+  /** A prompt part doesn't count as cached there any more. */
   onPartEvicted: (endpoint: EndpointState, part: string) => void
-  /** This entry sends something there. */
+  /** This entry sends a request to the endpoint. */
   onRequestStarted: (endpoint: EndpointState) => void
-  /** It has ended for good. */
+  /** This incarnation of the endpoint has ended. */
   onEnded: (endpoint: EndpointState) => void
 }
 
-/** What the points on the ring of homes are hashed with, so that they have nothing to do with the rank for reservations. */
-const HOME_SALT = 'home '
+/** A salt that makes the point on the affinity ring independent of the reservation rank. */
+const AFFINITY_SALT = 'home '
 
-const NOTHING: RequestSize = { ownTokens: 0, sharedPrefixId: undefined, sharedTokens: 0 }
+const NO_REQUEST: RequestSize = { ownTokens: 0, sharedPrefixId: undefined, sharedTokens: 0 }
 
-let created = 0
+let createdCount = 0
 
 export class EndpointState {
   readonly prefixCache: PrefixCacheModel
   readonly prefill = new PrefillObserver()
-  /** How attempts of all entries ended here. */
+  /** How the attempts of all entries ended at the endpoint. */
   readonly outcomes = new OutcomeObserver()
   readonly inFlightRequests = new Set<InFlightRequest>()
-  /** What the requests of this entry hold of its memory. */
+  /** The memory that the requests of this entry take at the endpoint. */
   readonly memory = new InFlightMemory()
   private readonly sizes = new WeakMap<InFlightRequest, RequestSize>()
-  /** When any byte last arrived from the endpoint. */
+  /** The time of the latest byte from the endpoint. */
   lastReceivedAt = -Infinity
-  /** What the other entries have under way there, as they last told. */
+  /** The load of the other entries at the endpoint, as last reported. */
   othersLoad: OthersLoad = NO_OTHERS_LOAD
-  /** A moving share of failures among finished attempts. */
+  /** The moving average of failures among the finished attempts of this entry. */
   failureShare = 0
-  /** Whether another process has answered at its address: this incarnation has ended for good. */
+  /** Whether another process has answered at its address, which means that this incarnation has ended. */
   hasEnded = false
-  /** Its place among the engines of its service when some of them are reserved; those with a low one come first. */
+  /** Its rank among the engines of its service when some of them are reserved; the lowest ranks are reserved first. */
   readonly reservationRank: number
-  /** Its place on the ring of homes. */
+  /** Its point on the affinity ring. */
   readonly affinityPoint: number
-  /** How many became known before it. */
-  readonly registrationOrder = created++
+  /** The number of endpoints that became known before it. */
+  readonly registrationOrder = createdCount++
   private ejectedUntil = -Infinity
   private ejections = 0
 
-  /** @param memoryTokens how many tokens its memory holds */
+  /** @param memoryTokens capacity of its memory, in tokens */
   constructor (
     public description: EndpointDescription, public memoryTokens = DEFAULT_MEMORY_TOKENS, private readonly watcher?: EndpointWatcher
   ) {
     this.reservationRank = hashName(description.incarnation)
-    this.affinityPoint = hashName(HOME_SALT + description.incarnation)
+    this.affinityPoint = hashName(AFFINITY_SALT + description.incarnation)
     this.prefixCache = new PrefixCacheModel(memoryTokens * CACHE_SHARE, {
       onCached: (part) => watcher?.onPartCached(this, part),
       onEvicted: (part) => watcher?.onPartEvicted(this, part)
@@ -145,21 +153,21 @@
     return this.inFlightRequests.size
   }
 
-  /** Requests of all entries that run there. */
+  /** The number of requests in flight from all entries. */
   get running (): number {
     return this.inFlightRequests.size + this.othersLoad.running
   }
 
-  /** Prompt tokens that any entry has sent and that are probably not read yet. */
+  /** Prompt tokens from all entries whose prefill is probably not complete. */
   get backlogTokens (): number {
     return this.tokensAhead(Infinity)
   }
 
-  /** Those of them that are read before or with a request of some urgency. */
+  /** Returns the tokens of the backlog whose prefill goes before or along with a request of some urgency. */
   tokensAhead (urgency: number): number {
     let tokens = 0
-    for (const work of this.inFlightRequests) {
-      if (!work.hasFirstEvent && work.urgency <= urgency) tokens += work.unreadTokens
+    for (const request of this.inFlightRequests) {
+      if (!request.hasFirstEvent && request.urgency <= urgency) tokens += request.unreadTokens
     }
     for (const unread of this.othersLoad.unread) {
       if (unread.urgency <= urgency) tokens += unread.tokens
@@ -167,7 +175,7 @@
     return tokens
   }
 
-  /** What this entry has sent and what is probably not read yet. */
+  /** Returns the part of the backlog that this entry has sent. */
   ownUnread (): UnreadTokens[] {
     const byUrgency = new Map<number, number>()
     for (const { hasFirstEvent, urgency, unreadTokens } of this.inFlightRequests) {
@@ -176,44 +184,47 @@
     return [...byUrgency].map(([urgency, tokens]) => ({ urgency, tokens }))
   }
 
-  /** The strains of the streams of this entry that run there, added up. */
+  /** The sum of the pause sensitivities of this entry's streams at the endpoint. */
   get ownPauseSensitivity (): number {
-    let strain = 0
-    for (const work of this.inFlightRequests) strain += work.pauseSensitivity
-    return strain
+    let sum = 0
+    for (const request of this.inFlightRequests) sum += request.pauseSensitivity
+    return sum
   }
 
-  /** The same of all entries. */
+  /** The sum of the pause sensitivities of all entries' streams at the endpoint. */
   get pauseSensitivity (): number {
     return this.ownPauseSensitivity + this.othersLoad.strain
   }
 
-  /** The streams of this entry that run there and are sensitive to reading. */
+  /** The number of this entry's pause-sensitive streams at the endpoint. */
   get ownPauseSensitiveStreams (): number {
     let count = 0
-    for (const work of this.inFlightRequests) if (work.isPauseSensitive) count += 1
+    for (const request of this.inFlightRequests) if (request.isPauseSensitive) count += 1
     return count
   }
 
-  /** The same of all entries. */
+  /** The number of all entries' pause-sensitive streams at the endpoint. */
   get pauseSensitiveStreams (): number {
     return this.ownPauseSensitiveStreams + this.othersLoad.sensitive
   }
 
-  /** The share of its memory that the requests of all entries will hold there. */
+  /** The share of its memory that the requests of all entries will take. */
   get memoryShare (): number {
-    return this.memoryShareWith(NOTHING)
+    return this.memoryShareWith(NO_REQUEST)
   }
 
-  /** The same, with one more. */
+  /** Returns the share of its memory that the requests of all entries will take together with one more. */
   memoryShareWith (size: RequestSize): number {
     if (this.memoryTokens <= 0) return 0
     const others = this.othersLoad.memory ?? NO_MEMORY_USE
-    const isKept = size.sharedPrefixId !== undefined && this.prefixCache.has(size.sharedPrefixId)
-    return (this.memory.tokensWith(others) + this.memory.tokensAddedBy(size, others, isKept)) / this.memoryTokens
+    const isCached = size.sharedPrefixId !== undefined && this.prefixCache.has(size.sharedPrefixId)
+    return (this.memory.tokensWith(others) + this.memory.tokensAddedBy(size, others, isCached)) / this.memoryTokens
   }
 
-  /** Takes a sample of how much there is to read; samples come at even intervals, or one for several of them. */
+  /**
+   * Samples the prefill backlog.
+   * @param intervals number of regular sampling intervals that the sample stands for
+   */
   samplePrefill (now: number, intervals = 1): void {
     this.prefill.sample(this.backlogTokens, now, intervals)
   }
@@ -224,7 +235,7 @@
     const promptTokens = prompt.reduce((tokens, part) => tokens + part.tokens, 0)
     const aheadTokens = this.tokensAhead(urgency)
     const size = requestSizeOf(prompt, outputTokens)
-    const work: InFlightRequest = {
+    const request: InFlightRequest = {
       startedAt: now,
       unreadTokens,
       urgency,
@@ -235,46 +246,49 @@
       hasFirstEvent: false,
       lastEventAt: now
     }
-    this.inFlightRequests.add(work)
-    this.sizes.set(work, size)
+    this.inFlightRequests.add(request)
+    this.sizes.set(request, size)
     this.memory.add(size)
     this.watcher?.onRequestStarted(this)
     this.recordCached(prompt, now)
-    return work
+    return request
   }
 
-  /** Notes that any entry has sent parts of prompts there. They can be copied once what waits there before them is read. */
+  /**
+   * Records that an entry has sent prompt parts to the endpoint. Other endpoints can copy the parts once the prefill of the present
+   * backlog and of the parts is complete.
+   */
   recordCached (parts: readonly PromptPart[], now: number): void {
-    this.prefixCache.record(parts, now + READ_WITHIN_MS + this.backlogTokens / this.prefill.tokensPerMs)
+    this.prefixCache.record(parts, now + PREFILL_MARGIN_MS + this.backlogTokens / this.prefill.tokensPerMs)
   }
 
-  /** Notes that events of an attempt have arrived. */
-  recordEvents (work: InFlightRequest, now: number): void {
-    const sinceLast = now - work.lastEventAt
-    if (work.hasFirstEvent) this.prefill.recordPause(sinceLast, work.lastEventAt)
-    else this.prefill.recordPrefill({ tokens: work.unreadTokens, aheadTokens: work.aheadTokens, tookMs: sinceLast })
-    work.hasFirstEvent = true
-    work.lastEventAt = now
+  /** Records that events of an attempt have arrived. */
+  recordEvents (request: InFlightRequest, now: number): void {
+    const sinceLast = now - request.lastEventAt
+    if (request.hasFirstEvent) this.prefill.recordPause(sinceLast, request.lastEventAt)
+    else this.prefill.recordPrefill({ tokens: request.unreadTokens, aheadTokens: request.aheadTokens, tookMs: sinceLast })
+    request.hasFirstEvent = true
+    request.lastEventAt = now
   }
 
-  end (work: InFlightRequest, verdict: AttemptVerdict, now: number): void {
-    this.inFlightRequests.delete(work)
-    this.release(work)
+  end (request: InFlightRequest, verdict: AttemptVerdict, now: number): void {
+    this.inFlightRequests.delete(request)
+    this.release(request)
     if (verdict === 'neutral') return
     if (verdict === 'good' || verdict === 'failed') this.outcomes.record(verdict === 'good')
     const failed = verdict === 'good' ? 0 : 1
     this.failureShare += FAILURE_WEIGHT * (failed - this.failureShare)
     if (verdict === 'unreachable') this.eject(now)
-    if (verdict === 'ended') this.noteEnded()
+    if (verdict === 'ended') this.markEnded()
     if (verdict === 'good') this.ejections = 0
   }
 
-  /** Whether the endpoint was unreachable a short while ago. */
+  /** Whether the endpoint is ejected because a connection to it failed recently. */
   isEjected (now: number): boolean {
     return now < this.ejectedUntil
   }
 
-  /** Whether this entry can't reach the endpoint: a connection failed a short while ago, or another process has its address. */
+  /** Whether this entry can't reach the endpoint: a connection failed recently, or another process has its address. */
   isUnreachable (now: number): boolean {
     return this.hasEnded || this.isEjected(now)
   }
@@ -285,32 +299,32 @@
     return unreachable / (unreachable + running + 1)
   }
 
-  /** Whether work waits there and nothing at all arrives. */
+  /** Whether requests are in flight and no byte has arrived for longer than their prefill can take. */
   isSilent (now: number): boolean {
     let oldest = Infinity
     let promptTokens = 0
-    for (const work of this.inFlightRequests) {
-      oldest = Math.min(oldest, work.startedAt)
-      if (!work.hasFirstEvent) promptTokens += work.promptTokens
+    for (const request of this.inFlightRequests) {
+      oldest = Math.min(oldest, request.startedAt)
+      if (!request.hasFirstEvent) promptTokens += request.promptTokens
     }
-    return now - Math.max(this.lastReceivedAt, oldest) > SILENT_MS + promptTokens / SLOWEST_READ_TOKENS_PER_MS
+    return now - Math.max(this.lastReceivedAt, oldest) > SILENT_MS + promptTokens / MIN_PREFILL_TOKENS_PER_MS
   }
 
-  private release (work: InFlightRequest): void {
-    const size = this.sizes.get(work)
+  private release (request: InFlightRequest): void {
+    const size = this.sizes.get(request)
     if (size === undefined) return
-    this.sizes.delete(work)
+    this.sizes.delete(request)
     this.memory.remove(size)
   }
 
-  private noteEnded (): void {
+  private markEnded (): void {
     this.hasEnded = true
     this.watcher?.onEnded(this)
   }
 
   private eject (now: number): void {
-    const pause = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** this.ejections)
+    const ejectionMs = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** this.ejections)
     this.ejections += 1
-    this.ejectedUntil = now + pause
+    this.ejectedUntil = now + ejectionMs
   }
 }
--- a/routing/balancer/src/output-length-estimator.ts
+++ b/routing/balancer/src/output-length-estimator.ts
@@ -1,44 +1,44 @@
 /**
- * How long an answer will probably be. A caller's estimate is right at the median and often far off, so that it is drawn
- * half way to what the route's callers usually estimate; where the caller says nothing the usual counts. The most that the
- * caller takes is a limit in any case: it is many times what most answers have.
+ * Estimates the length of an answer. The estimates of callers are right at the median but often far off. A caller's estimate is
+ * therefore averaged with the usual estimate of its route, and the usual estimate is used if the caller gives none. The maximum length
+ * that a caller gives is only an upper bound, since it is many times the length of most answers.
  */
 
-/** What one request counts for in the usual of its route. */
-const USUAL_WEIGHT = 0.05
-/** How far an estimate is drawn to the usual, on a logarithmic scale. */
-const USUAL_SHARE = 0.5
+/** The weight of one request in the usual estimate of its route. */
+const REQUEST_WEIGHT = 0.05
+/** The weight of the usual estimate in the average, which is taken on a logarithmic scale. */
+const USUAL_ESTIMATE_SHARE = 0.5
 
-/** Of so many routes something is kept; the one that was met first gives way: names come and go with documents. */
+/** The most routes to store, since route names change with documents; the oldest route is removed first. */
 const MAX_ROUTES = 5000
 
-/** What a caller says of the length of its answer. */
+/** What a caller states about the length of its answer. */
 export interface OutputLengthHint {
-  /** The tokens it expects. */
+  /** The number of tokens that it expects. */
   expectedTokens?: number | undefined
-  /** The most it takes. */
+  /** The maximum number of tokens that it accepts. */
   maxTokens?: number | undefined
 }
 
 export class OutputLengthEstimator {
-  /** The logarithm of what callers of a route usually estimate. */
-  private readonly usual = new Map<string, number>()
+  /** The logarithm of the usual estimate of a route's callers. */
+  private readonly usualLog = new Map<string, number>()
 
-  /** Notes a request of a route. */
+  /** Records a request of a route. */
   record (route: string, { expectedTokens }: OutputLengthHint): void {
     if (expectedTokens === undefined || expectedTokens <= 0) return
-    const known = this.usual.get(route) ?? Math.log(expectedTokens)
-    this.usual.set(route, known + USUAL_WEIGHT * (Math.log(expectedTokens) - known))
-    const [oldest] = this.usual.keys()
-    if (this.usual.size > MAX_ROUTES && oldest !== undefined) this.usual.delete(oldest)
+    const known = this.usualLog.get(route) ?? Math.log(expectedTokens)
+    this.usualLog.set(route, known + REQUEST_WEIGHT * (Math.log(expectedTokens) - known))
+    const [oldest] = this.usualLog.keys()
+    if (this.usualLog.size > MAX_ROUTES && oldest !== undefined) this.usualLog.delete(oldest)
   }
 
-  /** The tokens to expect; none where nothing is known. */
+  /** Returns the expected number of tokens; 0 if nothing is known. */
   estimate (route: string, { expectedTokens, maxTokens }: OutputLengthHint): number {
-    const usual = this.usual.get(route)
+    const usualLog = this.usualLog.get(route)
     const limit = maxTokens !== undefined && maxTokens > 0 ? maxTokens : Infinity
-    if (expectedTokens === undefined || expectedTokens <= 0) return usual === undefined ? 0 : Math.min(limit, Math.exp(usual))
+    if (expectedTokens === undefined || expectedTokens <= 0) return usualLog === undefined ? 0 : Math.min(limit, Math.exp(usualLog))
     const logHint = Math.log(expectedTokens)
-    return Math.min(limit, Math.exp(logHint + USUAL_SHARE * ((usual ?? logHint) - logHint)))
+    return Math.min(limit, Math.exp(logHint + USUAL_ESTIMATE_SHARE * ((usualLog ?? logHint) - logHint)))
   }
 }
--- a/routing/balancer/test/cross-region.test.ts
+++ b/routing/balancer/test/cross-region.test.ts
@@ -1,14 +1,16 @@
 import { describe, expect, it } from 'vitest'
-import { choose, EndpointState, RegionLink, ReservedEngines, scoreEndpoints, type ChoiceRequest, type PromptPart } from '@gullwall/routing.balancer'
+import {
+  choose, EndpointState, RegionLink, ReservedEngines, scoreEndpoints, type ChoiceRequest, type PromptPart
+} from '@gullwall/routing.balancer'
 
 const LATER = 10_000
 const SLOTS = 64
 const SUBJECT: PromptPart = { id: 'subject', tokens: 8000 }
-/** Of usual size, over a link at rest: 20 ms for the round trip and 20 for each kB. */
+/** The costs of a request of usual size and of a large one over an idle link: 20 ms for the round trip and 20 for each kB. */
 const SMALL_MS = 50
 const LARGE_MS = 240
 const regionOf = (dataCentre: string) => dataCentre[0] ?? ''
-const demand: ChoiceRequest = {
+const request: ChoiceRequest = {
   prompt: [SUBJECT, { id: 'own', tokens: 500 }],
   dataCentre: 'n1',
   regions: { regionOf, crossRegionCostMs: SMALL_MS },
@@ -24,7 +26,7 @@
   reserved: new Set()
 }
 
-function fleet (dataCentres = ['n1', 'n2', 'n3', 's1', 's2', 's3']): EndpointState[] {
+function twoRegions (dataCentres = ['n1', 'n2', 'n3', 's1', 's2', 's3']): EndpointState[] {
   return dataCentres.map((dataCentre, index) => new EndpointState({
     incarnation: `i-${index}`, service: 'lm', address: `127.0.0.1:${9000 + index}`, dataCentre, slots: SLOTS
   }))
@@ -34,88 +36,90 @@
   return regionOf(description.dataCentre) === 'n'
 }
 
-/** Other entries run so many requests there. */
+/** Lets other entries have `running` requests in flight at an endpoint. */
 function fill (endpoint: EndpointState, running: number): void {
   endpoint.othersLoad = { unread: [], running, strain: 0, sensitive: 0, unreachable: 0 }
 }
 
 describe('a request in a deployment of two regions', () => {
-  it('stays in its region while that has room, also where the engines of the other are idle', () => {
-    const all = fleet()
+  it('stays in its region while that has room, even if the engines of the other region are idle', () => {
+    const all = twoRegions()
     for (const endpoint of all.filter(isNorth)) fill(endpoint, 0.6 * SLOTS)
     for (let index = 0; index < 50; index += 1) {
       const prompt = [{ id: `subject-${index}`, tokens: 8000 }, { id: 'own', tokens: 500 }]
-      const chosen = choose({ ...demand, prompt }, all, LATER)
+      const chosen = choose({ ...request, prompt }, all, LATER)
       expect(chosen?.endpoint).toSatisfy(isNorth)
       expect(chosen?.crossRegion).toBeUndefined()
     }
   })
 
-  it('leaves it once its engines are nearly full, and tells why', () => {
-    const all = fleet()
+  it('goes to the other region once the engines of its own are nearly full, and gives the reason', () => {
+    const all = twoRegions()
     for (const endpoint of all.filter(isNorth)) fill(endpoint, 0.9 * SLOTS)
-    const chosen = choose({ ...demand, prompt: [{ id: 'own', tokens: 500 }] }, all, LATER)
+    const chosen = choose({ ...request, prompt: [{ id: 'own', tokens: 500 }] }, all, LATER)
     expect(chosen?.endpoint).not.toSatisfy(isNorth)
     expect(chosen?.crossRegion).toMatchObject({ region: 's', costMs: 300 + SMALL_MS })
     expect(chosen?.crossRegion?.localCost).toBeGreaterThan(chosen?.cost ?? Infinity)
   })
 
-  it('leaves it where no engine there takes it, and not where the link has no room', () => {
-    const all = fleet()
+  it('goes to the other region if no engine of its own accepts it, unless the link has no capacity', () => {
+    const all = twoRegions()
     for (const endpoint of all.filter(isNorth)) fill(endpoint, SLOTS)
-    expect(choose(demand, all, LATER)?.crossRegion).toMatchObject({ region: 's', localCost: undefined })
-    expect(choose({ ...demand, regions: { regionOf, crossRegionCostMs: undefined } }, all, LATER)).toBeUndefined()
+    expect(choose(request, all, LATER)?.crossRegion).toMatchObject({ region: 's', localCost: undefined })
+    expect(choose({ ...request, regions: { regionOf, crossRegionCostMs: undefined } }, all, LATER)).toBeUndefined()
   })
 
-  it('leaves it the sooner the fewer bytes it is', () => {
-    const crossesAt = (costMs: number) => Array.from({ length: SLOTS }, (_unused, running) => running).find((running) => {
-      const all = fleet()
+  it('goes to the other region earlier if it has fewer bytes', () => {
+    const crossesFrom = (costMs: number) => Array.from({ length: SLOTS }, (_unused, running) => running).find((running) => {
+      const all = twoRegions()
       for (const endpoint of all.filter(isNorth)) fill(endpoint, running)
-      return choose({ ...demand, prompt: [], regions: { regionOf, crossRegionCostMs: costMs } }, all, LATER)?.crossRegion !== undefined
+      return choose({ ...request, prompt: [], regions: { regionOf, crossRegionCostMs: costMs } }, all, LATER)?.crossRegion !== undefined
     }) ?? Infinity
-    expect(crossesAt(SMALL_MS)).toBeGreaterThan(0.6 * SLOTS)
-    expect(crossesAt(SMALL_MS)).toBeLessThan(crossesAt(LARGE_MS))
+    expect(crossesFrom(SMALL_MS)).toBeGreaterThan(0.6 * SLOTS)
+    expect(crossesFrom(SMALL_MS)).toBeLessThan(crossesFrom(LARGE_MS))
   })
 
-  it('has the shared parts of its prompt read again in the other region rather than copied from its own', () => {
-    const all = fleet()
-    const [home] = all
-    home?.prefixCache.record([SUBJECT], 0)
-    const weighed = scoreEndpoints({ ...demand, copySources: all }, all, LATER)
-    for (const { endpoint, source, unreadTokens } of weighed.filter((candidate) => candidate.endpoint !== home)) {
-      expect([source, unreadTokens]).toEqual(isNorth(endpoint) ? [home, 500] : [undefined, 8500])
+  it('needs prefill of the shared parts in the other region, since they are not copied between regions', () => {
+    const all = twoRegions()
+    const [affinityEndpoint] = all
+    affinityEndpoint?.prefixCache.record([SUBJECT], 0)
+    const candidates = scoreEndpoints({ ...request, copySources: all }, all, LATER)
+    for (const { endpoint, source, unreadTokens } of candidates.filter((candidate) => candidate.endpoint !== affinityEndpoint)) {
+      expect([source, unreadTokens]).toEqual(isNorth(endpoint) ? [affinityEndpoint, 500] : [undefined, 8500])
     }
   })
 
-  it('finds one home of its prompt in each region, the same from wherever it comes', () => {
-    const all = fleet()
+  it('has one affinity endpoint in each region, whichever region it comes from', () => {
+    const all = twoRegions()
     for (let index = 0; index < 50; index += 1) {
       const prompt = [{ id: `subject-${index}`, tokens: 8000 }, { id: 'own', tokens: 500 }]
-      const homesFrom = (dataCentre: string) => scoreEndpoints({ ...demand, prompt, dataCentre }, all, LATER)
+      const affinityEndpointsFrom = (dataCentre: string) => scoreEndpoints({ ...request, prompt, dataCentre }, all, LATER)
         .filter(({ isAffinityEndpoint }) => isAffinityEndpoint).map(({ endpoint }) => endpoint)
-      const homes = homesFrom('n1')
-      expect(homes.map(isNorth).sort()).toEqual([false, true])
-      expect(homesFrom('s2')).toEqual(homes)
+      const affinityEndpoints = affinityEndpointsFrom('n1')
+      expect(affinityEndpoints.map(isNorth).sort()).toEqual([false, true])
+      expect(affinityEndpointsFrom('s2')).toEqual(affinityEndpoints)
     }
   })
 
-  it('weighs as ever where there is one region only', () => {
-    const all = fleet()
-    const everywhere = scoreEndpoints({ ...demand, regions: undefined }, all, LATER)
-    expect(scoreEndpoints({ ...demand, regions: { regionOf: () => 'one', crossRegionCostMs: undefined } }, all, LATER)).toEqual(everywhere)
-    expect(everywhere.filter(({ isAffinityEndpoint }) => isAffinityEndpoint).length).toBe(1)
+  it('has the same costs in one region as without regions', () => {
+    const all = twoRegions()
+    const withoutRegions = scoreEndpoints({ ...request, regions: undefined }, all, LATER)
+    expect(scoreEndpoints(
+      { ...request, regions: { regionOf: () => 'one', crossRegionCostMs: undefined } }, all, LATER
+    )).toEqual(withoutRegions)
+    expect(withoutRegions.filter(({ isAffinityEndpoint }) => isAffinityEndpoint).length).toBe(1)
   })
 })
 
-it('a sensitive stream does not leave for engines that only the other region reserves', () => {
-  const all = fleet()
+it('a pause-sensitive stream does not go to another region because engines are reserved only there', () => {
+  const all = twoRegions()
   const reserved = new Set(all.filter((endpoint) => !isNorth(endpoint)).slice(0, 1))
-  const chosen = choose({ ...demand, prompt: [{ id: 'own', tokens: 300 }], isPauseSensitive: true, reserved }, all, LATER)
+  const chosen = choose({ ...request, prompt: [{ id: 'own', tokens: 300 }], isPauseSensitive: true, reserved }, all, LATER)
   expect(chosen?.endpoint).toSatisfy(isNorth)
 })
 
-it('each region reserves engines for its own sensitive streams', () => {
-  const all = fleet()
+it('each region reserves engines for its own pause-sensitive streams', () => {
+  const all = twoRegions()
   const busy = all.find(isNorth)
   if (busy === undefined) throw new Error('no engine')
   busy.othersLoad = { unread: [], running: 10, strain: 5, sensitive: 10, unreachable: 0 }
@@ -126,12 +130,12 @@
 
 describe('the link between two regions', () => {
   const ENTRIES = 10
-  /** Half of the link of 40 Mbit/s, for ten entries. */
+  /** One entry's part, in bytes a second: half of the link of 40 Mbit/s, divided among ten entries. */
   const PART_BYTES_PER_S = 250_000
   let now = 0
   const link = () => new RegionLink({ mbitPerS: 40, entryCount: () => ENTRIES, now: () => now })
 
-  it('takes no more of requests than their share, whatever is asked for', () => {
+  it('carries no more requests than their share of it', () => {
     const busy = link()
     const from = now
     let sent = 0
@@ -146,18 +150,18 @@
     expect(sent).toBeGreaterThan(8 * PART_BYTES_PER_S)
   })
 
-  it('grows dearer the less is left, and lets the small across for longest', () => {
+  it('costs more as its budget is used up, and rejects large requests first', () => {
     const busy = link()
-    const atRest = busy.costMs(4000) ?? Infinity
-    expect(busy.costMs(8000)).toBeGreaterThan(atRest)
+    const idleCost = busy.costMs(4000) ?? Infinity
+    expect(busy.costMs(8000)).toBeGreaterThan(idleCost)
     busy.recordBytes(0.9 * PART_BYTES_PER_S)
-    expect(busy.costMs(4000)).toBeGreaterThan(5 * atRest)
+    expect(busy.costMs(4000)).toBeGreaterThan(5 * idleCost)
     expect(busy.costMs(50_000)).toBeUndefined()
     now += 1000
-    expect(busy.costMs(4000)).toBe(atRest)
+    expect(busy.costMs(4000)).toBe(idleCost)
   })
 
-  it('takes what is larger than a whole part when nothing else crosses, and longer answers off what comes next', () => {
+  it('accepts a request larger than the whole budget while the budget is unused, and charges it to later requests', () => {
     const busy = link()
     expect(busy.costMs(2 * PART_BYTES_PER_S)).toBeGreaterThan(0)
     busy.recordBytes(2 * PART_BYTES_PER_S)
@@ -167,7 +171,7 @@
     expect(busy.costMs(200_000)).toBeGreaterThan(0)
   })
 
-  it('costs what its round trips are measured to take', () => {
+  it('includes the measured round trip in its cost', () => {
     const slow = link()
     const before = slow.costMs(1000) ?? 0
     for (let count = 0; count < 30; count += 1) slow.recordRoundTrip(120)
--- a/routing/balancer/test/endpoint-fixture.ts
+++ b/routing/balancer/test/endpoint-fixture.ts
@@ -1,4 +1,4 @@
-/** Fleets under random load, for tests of the choice. */
+/** A fixture of endpoints with random load, for tests of the choice. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import { EndpointIndex, EndpointState, type CandidateScope, type ChoiceRequest, type PromptPart } from '@gullwall/routing.balancer'
@@ -8,7 +8,7 @@
 const DATA_CENTRES = 4
 const SLOTS = 64
 
-export class Fleet {
+export class EndpointFixture {
   readonly index = new EndpointIndex()
   readonly endpoints: EndpointState[]
   readonly random: () => number
@@ -17,33 +17,37 @@
     const generator = xoroshiro128plus(seed)
     this.random = () => uniformFloat64(generator)
     this.endpoints = Array.from({ length: size }, (_, index) => new EndpointState({
-      incarnation: `i-${index}`, service: SERVICE, address: `10.0.${index >> 8}.${index & 255}:80`, dataCentre: `dc${index % DATA_CENTRES}`, slots: SLOTS
+      incarnation: `i-${index}`,
+      service: SERVICE,
+      address: `10.0.${index >> 8}.${index & 255}:80`,
+      dataCentre: `dc${index % DATA_CENTRES}`,
+      slots: SLOTS
     }, 300_000, this.index))
     for (const endpoint of this.endpoints) this.index.setUsable(endpoint, true)
   }
 
-  /** Gives each endpoint some work of others and some subjects. */
-  load (fill = 0.9): this {
+  /** Gives each endpoint some load of other entries and some cached prefixes. */
+  load (fillShare = 0.9): this {
     for (const endpoint of this.endpoints) {
       endpoint.othersLoad = {
         unread: [{ urgency: 3, tokens: Math.round(20_000 * this.random() ** 3) }],
-        running: Math.round(fill * SLOTS * this.random()),
+        running: Math.round(fillShare * SLOTS * this.random()),
         strain: 2 * this.random(),
         sensitive: 0,
         unreachable: 0
       }
-      for (let kept = 0; kept < 3; kept += 1) endpoint.prefixCache.record([this.subject()], 0)
+      for (let cached = 0; cached < 3; cached += 1) endpoint.prefixCache.record([this.sharedPart()], 0)
     }
     return this
   }
 
-  subject (): PromptPart {
+  sharedPart (): PromptPart {
     return { id: `subject-${Math.floor(this.size * this.random())}`, tokens: 6300 }
   }
 
-  demand (changes: Partial<ChoiceRequest> = {}): ChoiceRequest {
+  request (changes: Partial<ChoiceRequest> = {}): ChoiceRequest {
     return {
-      prompt: [this.subject(), { id: `own-${this.random()}`, tokens: 2900 }],
+      prompt: [this.sharedPart(), { id: `own-${this.random()}`, tokens: 2900 }],
       dataCentre: 'dc0',
       tier: 1,
       isResumed: false,
@@ -59,7 +63,7 @@
     }
   }
 
-  choosable (rules: Partial<CandidateScope> = {}): CandidateScope {
+  scope (rules: Partial<CandidateScope> = {}): CandidateScope {
     const { index, random } = this
     return {
       pool: index.pool(SERVICE),
--- a/routing/balancer/test/memory-simulation.test.ts
+++ b/routing/balancer/test/memory-simulation.test.ts
@@ -2,11 +2,13 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import { describe, expect, it } from 'vitest'
 import { WorkloadTable } from '@gullwall/control.workload'
-import { choose, EndpointState, NO_OTHERS_LOAD, OutputLengthEstimator, requestSizeOf, type ChoiceRequest, type PromptPart, type InFlightRequest } from '@gullwall/routing.balancer'
-import { MemoryEngine, type EngineRequest, type FinishedRun } from './simulated-engine.ts'
+import {
+  choose, EndpointState, NO_OTHERS_LOAD, OutputLengthEstimator, requestSizeOf, type ChoiceRequest, type PromptPart, type InFlightRequest
+} from '@gullwall/routing.balancer'
+import { SimulatedEngine, type EngineRequest, type FinishedRun } from './simulated-engine.ts'
 
 const SEED = Number(process.env['FUZZ_SEED'] ?? 31)
-/** Others than those on which the limits were chosen. */
+/** These differ from the seeds with which the limits were chosen. */
 const SEEDS = [SEED, SEED + 1, SEED + 2]
 const ENGINES = 8
 const GATEWAYS = 6
@@ -15,10 +17,10 @@
 const SECONDS = 30
 const TARGET_MS = 1500
 const TICK_MS = 5
-const WORD_MS = 60
-/** For how long a request waits at its gateway for an engine with room. */
-const PATIENCE_MS = 375
-const SUBJECTS = 240
+const EXCHANGE_MS = 60
+/** The time that a request waits at its gateway for an engine with room. */
+const MAX_WAIT_MS = 375
+const SHARED_PREFIXES = 240
 
 interface Arrival extends EngineRequest {
   at: number
@@ -29,16 +31,16 @@
 
 interface Outcome {
   sent: number
-  /** Shares of all: refused, put back, waited over 100 ms at their engines, first token in time. */
+  /** Shares of all requests: refused, preempted, queued over 100 ms at their engines, first token in time. */
   refused: number
   preempted: number
   queued: number
   inTime: number
-  /** In thousands. */
-  readTokens: number
+  /** Prefilled tokens, in thousands. */
+  prefilledTokens: number
 }
 
-/** Arrivals as data: the users' sizes, answers of 25 to 280 tokens, estimates that are right at the median. */
+/** Generates arrivals: prompts of realistic sizes, answers of 25 to 280 tokens, estimates that are right at the median. */
 function arrivalsOf (perSecond: number, seed: number): Arrival[] {
   const generator = xoroshiro128plus(seed)
   const random = () => uniformFloat64(generator)
@@ -52,7 +54,7 @@
       at,
       tier,
       urgency: 3 * tier,
-      subject: `subject-${Math.floor(SUBJECTS * random() ** 2)}`,
+      sharedPrefixId: `subject-${Math.floor(SHARED_PREFIXES * random() ** 2)}`,
       sharedTokens: 6300,
       ownTokens: Math.round(2900 * (0.5 + random())),
       outputTokens,
@@ -63,37 +65,37 @@
   return arrivals
 }
 
-const promptOf = ({ subject, sharedTokens, id, ownTokens }: Arrival): PromptPart[] => (
-  [{ id: subject, tokens: sharedTokens }, { id: `own-${id}`, tokens: ownTokens }]
+const promptOf = ({ sharedPrefixId, sharedTokens, id, ownTokens }: Arrival): PromptPart[] => (
+  [{ id: sharedPrefixId, tokens: sharedTokens }, { id: `own-${id}`, tokens: ownTokens }]
 )
 
-/** The engines as one gateway sees them. */
+/** Creates the endpoints as one gateway sees them. */
 function enginesOf (): EndpointState[] {
   return Array.from({ length: ENGINES }, (_, index) => new EndpointState({
     incarnation: `i-${index}`, service: 'lm', address: `10.0.0.${index}:80`, dataCentre: 'dc1', slots: SLOTS
   }, MEMORY_TOKENS))
 }
 
-/** Plays arrivals against the decision of gateways that hear of each other each 60 ms. */
-class Replay {
-  private readonly engines = Array.from({ length: ENGINES }, () => new MemoryEngine(SLOTS, MEMORY_TOKENS))
+/** Simulates gateways that choose engines for the arrivals and receive each other's load each 60 ms. */
+class Simulation {
+  private readonly engines = Array.from({ length: ENGINES }, () => new SimulatedEngine(SLOTS, MEMORY_TOKENS))
   private readonly views = Array.from({ length: GATEWAYS }, enginesOf)
-  private readonly outputs = new OutputLengthEstimator()
-  private readonly works = new Map<number, { work: InFlightRequest, endpoint: EndpointState }>()
+  private readonly outputLengths = new OutputLengthEstimator()
+  private readonly inFlight = new Map<number, { inFlightRequest: InFlightRequest, endpoint: EndpointState }>()
   private readonly finished: FinishedRun[] = []
   private sent = 0
   private refused = 0
-  private held: Arrival[] = []
+  private waiting: Arrival[] = []
 
-  constructor (private readonly arrivals: readonly Arrival[], private readonly heedsMemory: boolean) {}
+  constructor (private readonly arrivals: readonly Arrival[], private readonly usesMemory: boolean) {}
 
   run (): Outcome {
     let next = 0
     for (let now = 0; now < (SECONDS + 20) * 1000; now += TICK_MS) {
       this.advance(now)
-      if (now % WORD_MS === 0) this.tell(now)
-      const due = [...this.held]
-      this.held = []
+      if (now % EXCHANGE_MS === 0) this.exchangeLoad(now)
+      const due = [...this.waiting]
+      this.waiting = []
       for (let arrival = this.arrivals[next]; arrival !== undefined && arrival.at <= now; arrival = this.arrivals[next]) {
         due.push(arrival)
         next += 1
@@ -111,16 +113,16 @@
       preempted: share(this.finished.filter(({ wasPreempted }) => wasPreempted).length),
       queued: share(this.finished.filter(({ queuedMs }) => queuedMs > 100).length),
       inTime: share(this.finished.filter(({ firstMs }) => firstMs <= TARGET_MS).length),
-      readTokens: Math.round(this.engines.reduce((sum, { readTokens }) => sum + readTokens, 0) / 1000)
+      prefilledTokens: Math.round(this.engines.reduce((sum, { prefilledTokens }) => sum + prefilledTokens, 0) / 1000)
     }
   }
 
   private decide (arrival: Arrival, now: number): void {
     const view = this.views[arrival.gateway] ?? []
     const prompt = promptOf(arrival)
-    this.outputs.record('ask', arrival)
-    const outputTokens = this.outputs.estimate('ask', arrival)
-    const demand: ChoiceRequest = {
+    this.outputLengths.record('ask', arrival)
+    const outputTokens = this.outputLengths.estimate('ask', arrival)
+    const request: ChoiceRequest = {
       prompt,
       dataCentre: 'dc1',
       tier: arrival.tier,
@@ -133,15 +135,17 @@
       isAffinityTrusted: false,
       isPauseSensitive: false,
       reserved: new Set(),
-      size: this.heedsMemory ? requestSizeOf(prompt, outputTokens) : undefined
+      size: this.usesMemory ? requestSizeOf(prompt, outputTokens) : undefined
     }
-    const chosen = choose(demand, view, now)
-    if (chosen === undefined && now - arrival.at < PATIENCE_MS) this.held.push(arrival)
+    const chosen = choose(request, view, now)
+    if (chosen === undefined && now - arrival.at < MAX_WAIT_MS) this.waiting.push(arrival)
     else if (chosen === undefined || chosen.waitMs > TARGET_MS) this.refused += 1
     else {
       const { endpoint, unreadTokens, urgency } = chosen
-      const work = endpoint.begin({ prompt, unreadTokens, urgency, pauseSensitivity: 0.1, isPauseSensitive: false, outputTokens }, now)
-      this.works.set(arrival.id, { work, endpoint })
+      const inFlightRequest = endpoint.begin(
+        { prompt, unreadTokens, urgency, pauseSensitivity: 0.1, isPauseSensitive: false, outputTokens }, now
+      )
+      this.inFlight.set(arrival.id, { inFlightRequest, endpoint })
       this.sent += 1
       this.engines[view.indexOf(endpoint)]?.send({ ...arrival, urgency }, now)
     }
@@ -151,19 +155,19 @@
     for (const engine of this.engines) {
       const { begun, ended } = engine.advance(now)
       for (const { id } of begun) {
-        const known = this.works.get(id)
-        known?.endpoint.recordEvents(known.work, now)
+        const known = this.inFlight.get(id)
+        known?.endpoint.recordEvents(known.inFlightRequest, now)
       }
       for (const run of ended) {
-        const known = this.works.get(run.request.id)
-        known?.endpoint.end(known.work, 'good', now)
+        const known = this.inFlight.get(run.request.id)
+        known?.endpoint.end(known.inFlightRequest, 'good', now)
         this.finished.push(run)
       }
     }
   }
 
-  /** Each gateway hears what the others have, by the sums that control makes. */
-  private tell (now: number): void {
+  /** Gives each gateway the load of the others, summed up as control does. */
+  private exchangeLoad (now: number): void {
     const table = new WorkloadTable<number>()
     for (const [source, view] of this.views.entries()) {
       table.replace(source, view.filter(({ inFlight }) => inFlight > 0).map((endpoint) => ({
@@ -186,9 +190,9 @@
   }
 }
 
-/** The mean over several loads. */
-function meanOf (perSecond: number, heedsMemory: boolean): Outcome {
-  const outcomes = SEEDS.map((seed) => new Replay(arrivalsOf(perSecond, seed), heedsMemory).run())
+/** Returns the mean outcome over the seeds. */
+function meanOf (perSecond: number, usesMemory: boolean): Outcome {
+  const outcomes = SEEDS.map((seed) => new Simulation(arrivalsOf(perSecond, seed), usesMemory).run())
   const sumOf = (field: keyof Outcome) => outcomes.reduce((sum, outcome) => sum + outcome[field], 0)
   const mean = (field: keyof Outcome) => Math.round(1000 * sumOf(field) / outcomes.length) / 1000
   return {
@@ -197,15 +201,15 @@
     preempted: mean('preempted'),
     queued: mean('queued'),
     inTime: mean('inTime'),
-    readTokens: mean('readTokens')
+    prefilledTokens: mean('prefilledTokens')
   }
 }
 
-describe('a load at which memory binds before slots', () => {
-  it.each([38, 55])('waits and is put back less often where the choice counts what engines hold, at %i requests a second', (perSecond) => {
-    const [before, after] = [false, true].map((heedsMemory) => meanOf(perSecond, heedsMemory))
-    const told = `before ${JSON.stringify(before)}\n  after ${JSON.stringify(after)}`
-    console.log(`seeds ${SEEDS.join(' ')}, ${perSecond}/s\n  ${told}`)
+describe('a load that fills memory before slots', () => {
+  it.each([38, 55])('is queued and preempted less often if the choice considers memory, at %i requests a second', (perSecond) => {
+    const [before, after] = [false, true].map((usesMemory) => meanOf(perSecond, usesMemory))
+    const comparison = `before ${JSON.stringify(before)}\n  after ${JSON.stringify(after)}`
+    console.log(`seeds ${SEEDS.join(' ')}, ${perSecond}/s\n  ${comparison}`)
     if (before === undefined || after === undefined) throw new Error('no outcome')
     expect(after.queued).toBeLessThan(0.6 * before.queued)
     expect(after.preempted).toBeLessThan(before.preempted)
