--- a/entry/gateway/src/answer-receiver.ts
+++ b/entry/gateway/src/answer-receiver.ts
@@ -1,4 +1,4 @@
-/** Takes the answer of one attempt and passes it on as far as it is whole. */
+/** Receives the response to one attempt and forwards its complete parts to the caller. */
 import { type AttemptVerdict, type Candidate, type Work } from '@gullwall/routing.balancer'
 import { type Permit } from '@gullwall/routing.backoff'
 import { type AnswerHead } from './dialect.ts'
@@ -8,33 +8,34 @@
 
 /** How one attempt ended. */
 export type AttemptEnd =
-  /** The caller has its answer. */
+  /** The caller has received the complete response. */
   | { type: 'answered' }
-  /** It certainly did not run. */
+  /** The endpoint certainly did not run the request. */
   | { type: 'not-run', why: string, verdict: AttemptVerdict }
-  /** Not even the connection was made. */
+  /** No byte was written, because no connection was established. `isRefused`: nothing listens at the address of the endpoint. */
   | { type: 'unsent', why: string, isRefused?: boolean }
-  /** It was no longer to be sent there once a connection was free. */
+  /** The request was no longer allowed at the endpoint when a connection became available. */
   | { type: 'withheld', why: string }
-  /** It ran, and the endpoint answered with a failure. */
+  /** The endpoint ran the request and responded with a failure. */
   | { type: 'failed', head: ExchangeHead, body: Buffer }
-  /** It may have run; `isClosed`: the endpoint, or the way to it, ended the connection. */
+  /** The endpoint may have run the request. `isClosed`: the endpoint or the network closed the connection. */
   | { type: 'broken', why: string, isClosed: boolean }
   | { type: 'cancelled' }
 
-const MAX_WHOLE_BYTES = 32 * 1024 * 1024
-const SUCCESS = 200
-const REDIRECT = 300
-const SERVER_ERROR = 500
-const MISDIRECTED = 421
+const MAX_BODY_BYTES = 32 * 1024 * 1024
+const MIN_SUCCESS_STATUS = 200
+const MIN_REDIRECT_STATUS = 300
+const MIN_SERVER_ERROR_STATUS = 500
+/** Another process than the addressed endpoint responds with this status. */
+const MISDIRECTED_REQUEST_STATUS = 421
 
 export class AnswerReceiver implements ExchangeListener {
-  /** All that has arrived of the answer. */
+  /** Bytes of the response body that have been received. */
   receivedBytes = 0
   private head: ExchangeHead | undefined
   private readonly cutter = new EventCutter()
   private readonly chunks: Buffer[] = []
-  private bytes = 0
+  private bodyBytes = 0
   private isNotRun = false
 
   constructor (
@@ -52,13 +53,13 @@
     const { call } = this.forwarding.facts
     const { requestId, isSigned, isNotRun } = this.readHead(head)
     this.head = head
-    this.isNotRun = isNotRun || head.status === MISDIRECTED
+    this.isNotRun = isNotRun || head.status === MISDIRECTED_REQUEST_STATUS
     if (this.isNotRun) return true
     this.permit.answered()
     return requestId === call.requestId && isSigned && head.headers['content-encoding'] === undefined
   }
 
-  /** Reads a head, whatever it is the head of: what the endpoint says of itself holds also in an answer to something else. */
+  /** Applies the notices of any response head: they describe the endpoint, even if the response belongs to another request. */
   private readHead ({ status, headers, sentAt }: ExchangeHead): AnswerHead {
     const { services } = this.forwarding.facts
     const { endpoint } = this.candidate
@@ -75,20 +76,24 @@
       this.passEvents(chunk)
       return
     }
-    this.bytes += chunk.length
-    if (this.bytes <= MAX_WHOLE_BYTES) this.chunks.push(chunk)
+    this.bodyBytes += chunk.length
+    if (this.bodyBytes <= MAX_BODY_BYTES) this.chunks.push(chunk)
   }
 
-  /** Gives the end of the attempt, and ends the caller's answer where it is whole. */
+  /** Returns the outcome of the attempt, and ends the caller's response if it is complete. */
   endOf (end: ExchangeEnd): AttemptEnd {
     const { head } = this
     if (end.type === 'cancelled') return { type: 'cancelled' }
     if (end.type === 'unsent' || end.type === 'withheld') return end
     if (this.isNotRun && head !== undefined) {
-      return { type: 'not-run', why: `the endpoint answered ${head.status}, not run`, verdict: head.status === MISDIRECTED ? 'ended' : 'shed' }
+      return {
+        type: 'not-run',
+        why: `the endpoint responded ${head.status} without running the request`,
+        verdict: head.status === MISDIRECTED_REQUEST_STATUS ? 'ended' : 'shed'
+      }
     }
-    if (end.type === 'broken' || head === undefined) return end.type === 'broken' ? end : { type: 'broken', why: 'no head', isClosed: false }
-    if (head.status >= SERVER_ERROR) return { type: 'failed', head, body: Buffer.concat(this.chunks) }
+    if (end.type === 'broken' || head === undefined) return end.type === 'broken' ? end : { type: 'broken', why: 'no response head', isClosed: false }
+    if (head.status >= MIN_SERVER_ERROR_STATUS) return { type: 'failed', head, body: Buffer.concat(this.chunks) }
     return this.complete(head)
   }
 
@@ -99,7 +104,7 @@
       this.forwarding.noteAnswered()
       answer.endStream(this.cutter.remainder())
     } else {
-      if (this.bytes > MAX_WHOLE_BYTES) return { type: 'broken', why: 'the answer is too large', isClosed: false }
+      if (this.bodyBytes > MAX_BODY_BYTES) return { type: 'broken', why: 'the response is too large', isClosed: false }
       this.forwarding.noteAnswered()
       answer.whole(head.status, head.headers, Buffer.concat(this.chunks))
     }
@@ -108,7 +113,7 @@
 
   private get isStream (): boolean {
     const status = this.head?.status ?? 0
-    return this.forwarding.facts.call.route.kind === 'stream' && status >= SUCCESS && status < REDIRECT
+    return this.forwarding.facts.call.route.kind === 'stream' && status >= MIN_SUCCESS_STATUS && status < MIN_REDIRECT_STATUS
   }
 
   private passEvents (chunk: Buffer): void {
@@ -121,14 +126,14 @@
     if (!answer.events(events.bytes)) this.forwarding.holdUntilDrained()
   }
 
-  /** The first run of a stream gives the head; later runs go on under it. */
+  /** Sends the head of the first attempt of a stream; attempts that resume the stream continue under this head. */
   private begin (head: ExchangeHead): void {
     const { answer } = this.forwarding.facts
     if (!answer.hasBegun) answer.beginStream(head.status, head.headers)
   }
 }
 
-/** What the end of an attempt tells of its endpoint. */
+/** Returns what the outcome of an attempt says about the health of its endpoint. */
 export function verdictOf (end: AttemptEnd): AttemptVerdict {
   switch (end.type) {
     case 'answered': return 'good'
@@ -141,7 +146,7 @@
   }
 }
 
-/** Whether the endpoint has begun to run the request, as far as its end tells. */
+/** Whether the endpoint ran the request at least in part, or may have run it. */
 export function hasRun (end: AttemptEnd): boolean {
   return end.type === 'answered' || end.type === 'failed' || end.type === 'broken'
 }
--- a/entry/gateway/src/answer.ts
+++ b/entry/gateway/src/answer.ts
@@ -1,16 +1,16 @@
-/** What the caller gets: an endpoint's whole answer, a stream event by event, or an error of this process. */
+/** The HTTP response to a caller: the complete response of an endpoint, a stream event by event, or an error of this process. */
 import { type ServerResponse } from 'node:http'
 import { type Headers } from './dialect.ts'
 
 const CONNECTION_HEADERS = new Set(['connection', 'keep-alive', 'transfer-encoding', 'content-length', 'trailer', 'upgrade', 'proxy-connection'])
 
-/** An error that this process answers with. */
+/** An error response that this process generates. */
 export interface ErrorAnswer {
   status: number
   code: string
   message: string
   ran: 'no' | 'unknown' | 'partly'
-  /** When it makes sense to ask again, in ms. */
+  /** Delay after which the caller may retry, in ms. */
   retryAfterMs?: number
 }
 
@@ -21,12 +21,12 @@
     return this.response.headersSent
   }
 
-  /** Whether the caller has gone. */
+  /** Whether the caller has disconnected. */
   get isClosed (): boolean {
     return this.response.destroyed || this.response.closed || this.response.socket?.readableEnded === true
   }
 
-  /** Calls back once the caller has left before its answer was whole; at once if it has left already. */
+  /** Calls the listener when the caller disconnects before the response is complete; immediately if it has disconnected already. */
   onLeft (listener: () => void): void {
     if (this.isClosed) {
       listener()
@@ -37,21 +37,21 @@
     })
   }
 
-  /** Passes on a whole answer. */
+  /** Sends a complete response. */
   whole (status: number, headers: Headers, body: Buffer): void {
     if (this.isClosed) return
     this.writeHead(status, headers, { 'content-length': String(body.length) })
     this.response.end(body)
   }
 
-  /** Begins to pass on a stream. */
+  /** Sends the head of a streamed response. */
   beginStream (status: number, headers: Headers): void {
     if (this.isClosed) return
     this.writeHead(status, headers, {})
     this.response.flushHeaders()
   }
 
-  /** Passes on whole events; false if the caller reads too slowly for more. */
+  /** Writes complete events. Returns false if the caller reads too slowly; writing should then wait for `onceDrained`. */
   events (bytes: Buffer): boolean {
     return this.isClosed || this.response.write(bytes)
   }
@@ -60,16 +60,16 @@
     this.response.once('drain', listener)
   }
 
-  endStream (rest: Buffer): void {
-    if (!this.isClosed) this.response.end(rest.length > 0 ? rest : undefined)
+  endStream (remainder: Buffer): void {
+    if (!this.isClosed) this.response.end(remainder.length > 0 ? remainder : undefined)
   }
 
-  /** Ends an answer that has begun so that it can't be taken for a whole one. */
+  /** Closes the connection, so that the caller can't mistake a partial response for a complete one. */
   breakOff (): void {
     this.response.destroy()
   }
 
-  /** Answers with an error of this process; where an answer has begun, it is broken off. */
+  /** Sends an error of this process. A response that has begun is aborted instead. */
   error (answer: ErrorAnswer): void {
     if (this.isClosed) return
     if (this.hasBegun) {
@@ -90,7 +90,7 @@
       if (value === undefined || (CONNECTION_HEADERS.has(name) && added[name] === undefined)) continue
       sent[name] = value
     }
-    // A process that is about to stop asks its callers to come back on another connection.
+    // A process that is about to stop asks callers to open a new connection.
     if (this.isStopping()) sent['connection'] = 'close'
     this.response.writeHead(status, sent)
   }
--- a/entry/gateway/src/attempt-history.ts
+++ b/entry/gateway/src/attempt-history.ts
@@ -1,26 +1,26 @@
-/** What became of the attempts of one request so far, and whether another one is allowed. */
+/** The attempts of one request so far, and whether another attempt is allowed. */
 import { type Call } from './call.ts'
 
-/** So many attempts that the endpoint answers without running them are made; they do not count as sent. */
+/** Maximum number of attempts that endpoints reject without running the request. Rejected attempts do not count as sent. */
 const MAX_NOT_RUN = 5
 
 export class AttemptHistory {
-  /** Attempts that may have run. */
+  /** Number of attempts that ran or may have run. */
   sends = 0
-  /** Attempts that the endpoint answered without running them. */
+  /** Number of attempts that the endpoint rejected without running the request. */
   notRun = 0
-  /** Attempts of which not a byte was written, since the endpoint could not be connected to. */
+  /** Number of attempts for which no connection to the endpoint was established, so that no byte was written. */
   unsent = 0
   private readonly tried = new Set<string>()
 
   constructor (private readonly call: Call) {}
 
-  /** The number of the attempt that is next or under way, from 1. */
+  /** Number of the current or next attempt, from 1; counts only attempts that may have run. */
   get attempt (): number {
     return this.sends + 1
   }
 
-  /** Whether nothing has been tried yet. */
+  /** Whether no attempt has been made. */
   get isFirst (): boolean {
     return this.sends + this.notRun + this.unsent === 0
   }
@@ -29,35 +29,35 @@
     return this.sends > 0
   }
 
-  /** Notes an attempt that certainly did not run. */
+  /** Records an attempt that the endpoint rejected without running the request. */
   noteNotRun (incarnation: string): void {
     this.tried.add(incarnation)
     this.notRun += 1
   }
 
-  /** Notes an attempt that did not even reach its endpoint. */
+  /** Records an attempt that did not reach its endpoint. */
   noteUnsent (incarnation: string): void {
     this.tried.add(incarnation)
     this.unsent += 1
   }
 
-  /** Notes an attempt that ran or may have run. */
+  /** Records an attempt that ran or may have run. */
   noteRun (incarnation: string): void {
     this.tried.add(incarnation)
     this.sends += 1
   }
 
-  /** Whether a request that did not run may be tried at one more endpoint. */
+  /** Whether a request that was rejected without running may be sent to another endpoint. */
   get mayBeTriedElsewhere (): boolean {
     return this.notRun < MAX_NOT_RUN
   }
 
-  /** Whether the route allows one more endpoint to run it. */
+  /** Whether the route allows another attempt that may run. */
   get mayRunAgain (): boolean {
     return this.sends < this.call.route.maxAttempts
   }
 
-  /** Endpoints that are not to have the request next. */
+  /** Incarnations of the endpoints that have been tried already. */
   get excluded (): ReadonlySet<string> {
     return this.tried
   }
--- a/entry/gateway/src/attempt-policy.ts
+++ b/entry/gateway/src/attempt-policy.ts
@@ -1,6 +1,6 @@
 /**
- * What is decided about one request: whether it is sent at all, what follows each attempt, and when an endpoint that says
- * nothing is given up. Decisions only; `forward.ts` carries them out.
+ * Decisions about one request: whether it is sent, what follows each attempt, and when an endpoint that does not respond is
+ * abandoned. `forward.ts` carries them out.
  */
 import { type Candidate, type RetryBudget, type Work } from '@gullwall/routing.balancer'
 import { type AttemptEnd } from './answer-receiver.ts'
@@ -8,57 +8,57 @@
 import { isRepeatable, type Call } from './call.ts'
 import { type ExchangeHead } from './exchange.ts'
 
-/** A first event that would take so many times its target is not waited for: callers that are told come back in time more often. */
-const HOPELESS_TARGETS = 1
-/** So many endpoints that can't be connected to are left for others in any case. */
-const MIN_UNSENT = 5
-/** Further ones for so many times the target of the request; a caller who is refused then still has time to ask again. */
-const UNSENT_TARGETS = 1
-/** A repeatable call without an answer after so many times its target is tried elsewhere. */
-const SLOW_TARGETS = 1.5
-/** No call is taken to be slow before this time; it is also how often an attempt is looked at. In ms. */
+/** Maximum predicted wait for the first event, as a multiple of the acceptable wait. Callers that are refused early can retry in time. */
+const MAX_WAIT_FACTOR = 1
+/** Minimum number of endpoints that are tried when connections fail. */
+const MIN_UNSENT_ATTEMPTS = 5
+/** Time for which further endpoints are tried when connections fail, as a multiple of the target. A caller refused then can still retry. */
+const UNSENT_TARGET_FACTOR = 1
+/** Time without a response after which a repeatable request is sent to another endpoint, as a multiple of the target. */
+const SLOW_TARGET_FACTOR = 1.5
+/** Interval at which running attempts are checked, and the minimum time before a repeatable request counts as slow, in ms. */
 export const WATCH_MS = 250
-/** A stream without an event for so long is given up if its endpoint says nothing to anybody, in ms. */
-const STALL_MS = 1200
+/** Time without an event after which a stream is abandoned if its endpoint sends nothing on other connections either, in ms. */
+const STALL_TIMEOUT_MS = 1200
 
-/** Whether a request is sent to the best candidate, or had better come back. */
+/** Whether a request is sent to the best candidate or refused. */
 export type Admission =
   | { type: 'send' }
   | { type: 'refuse', why: string, afterMs: number }
 
 /** What follows an attempt. */
 export type NextStep =
-  /** The caller has its answer, or has left. */
+  /** The caller has its response or has disconnected. */
   | { type: 'over' }
   | { type: 'again', why: string, budgetLeft: number }
-  /** It has not run and is not tried again. */
+  /** The request has not run and is not retried. */
   | { type: 'refuse', why: string }
-  /** The endpoint's own failure goes to the caller. */
+  /** The failure response of the endpoint is forwarded to the caller. */
   | { type: 'pass-failure', head: ExchangeHead, body: Buffer, why: string }
-  /** It may have run and has no answer. */
+  /** The request may have run and has no complete response. */
   | { type: 'fail', code: string, why: string }
 
 export interface RequestState {
   call: Call
   history: AttemptHistory
   budget: RetryBudget
-  /** For how long a wait requests that are no more urgent than this one are still taken, in ms. */
+  /** Longest wait at which requests that are no more urgent than this one are still accepted, in ms. */
   patienceMs: number
 }
 
 /**
- * Refuses what has not been sent and would be late by so much that it had better come back: served late it earns little
- * and makes those behind it late too. The most urgent are never refused so, and none for a wait at which less urgent ones
- * are still taken.
+ * Refuses a request whose predicted wait is too long: a late response is worth little, and it delays the requests behind it.
+ * Requests that may have run, have no prompt, or are of tier 0 are never refused here. No request is refused for a wait at which
+ * less urgent requests are still accepted.
  */
 export function admit ({ call, history, patienceMs }: RequestState, { waitMs }: Candidate): Admission {
   const { tier, prompt, route } = call
   const isBound = history.mayHaveRun || prompt.length === 0 || tier === 0
-  if (isBound || waitMs <= HOPELESS_TARGETS * patienceMs) return { type: 'send' }
+  if (isBound || waitMs <= MAX_WAIT_FACTOR * patienceMs) return { type: 'send' }
   return { type: 'refuse', why: `the first event would take ${Math.round(waitMs)} ms of ${route.targetMs}`, afterMs: waitMs - route.targetMs }
 }
 
-/** Decides what follows an attempt, and notes it in the history of the request. */
+/** Decides what follows an attempt, and records the attempt in the history of the request. */
 export function nextStep (state: RequestState, incarnation: string, end: AttemptEnd, now = performance.now()): NextStep {
   const { call, history } = state
   switch (end.type) {
@@ -76,34 +76,34 @@
     case 'failed':
       history.noteRun(incarnation)
       return isRepeatable(call)
-        ? sendAgain(state, `answered ${end.head.status}`, (why) => ({ type: 'pass-failure', head: end.head, body: end.body, why }))
-        : { type: 'pass-failure', head: end.head, body: end.body, why: 'it runs at most once' }
+        ? retryOr(state, `answered ${end.head.status}`, (why) => ({ type: 'pass-failure', head: end.head, body: end.body, why }))
+        : { type: 'pass-failure', head: end.head, body: end.body, why: 'the request runs at most once' }
     case 'broken':
       history.noteRun(incarnation)
       return isRepeatable(call)
-        ? sendAgain(state, end.why, (why) => ({ type: 'fail', code: 'ERR_GULLWALL_BROKEN', why }))
+        ? retryOr(state, end.why, (why) => ({ type: 'fail', code: 'ERR_GULLWALL_BROKEN', why }))
         : { type: 'fail', code: 'ERR_GULLWALL_UNKNOWN_OUTCOME', why: end.why }
   }
 }
 
 /**
- * Nothing has reached an endpoint, so that another attempt is no repeat and costs no budget. Where many endpoints have died
- * at once, several in a row may be dead before one that lives.
+ * Tries another endpoint without using the retry budget, since the request has reached none. After an outage several endpoints in
+ * a row may be unreachable.
  */
 function afterUnsent ({ call, history, budget }: RequestState, why: string, now: number): NextStep {
-  const isLate = now - call.arrivedAt >= UNSENT_TARGETS * call.route.targetMs
-  if (history.unsent >= MIN_UNSENT && isLate) return { type: 'refuse', why: `${history.unsent} endpoints could not be reached: ${why}` }
+  const isLate = now - call.arrivedAt >= UNSENT_TARGET_FACTOR * call.route.targetMs
+  if (history.unsent >= MIN_UNSENT_ATTEMPTS && isLate) return { type: 'refuse', why: `${history.unsent} endpoints could not be reached: ${why}` }
   return { type: 'again', why: `not sent: ${why}`, budgetLeft: budget.left }
 }
 
 function afterNotRun (state: RequestState, why: string): NextStep {
   const { history } = state
-  if (!history.mayBeTriedElsewhere) return { type: 'refuse', why: `not run ${history.notRun} times: ${why}` }
-  return sendAgain(state, why, (told) => ({ type: 'refuse', why: told }))
+  if (!history.mayBeTriedElsewhere) return { type: 'refuse', why: `rejected ${history.notRun} times without running: ${why}` }
+  return retryOr(state, why, (reason) => ({ type: 'refuse', why: reason }))
 }
 
-/** Sends once more if attempts and budget allow it; else ends as told, with the reason. */
-function sendAgain ({ call, history, budget }: RequestState, why: string, otherwise: (why: string) => NextStep): NextStep {
+/** Retries if the number of attempts and the retry budget allow it; returns the step of `otherwise` if they do not. */
+function retryOr ({ call, history, budget }: RequestState, why: string, otherwise: (why: string) => NextStep): NextStep {
   if (!history.mayRunAgain) return otherwise(`${why}; ${history.sends} of ${call.route.maxAttempts} attempts made`)
   if (!budget.take()) return otherwise(`${why}; no retry budget left`)
   return { type: 'again', why, budgetLeft: budget.left }
@@ -112,20 +112,20 @@
 export interface RunningAttempt extends RequestState {
   candidate: Candidate
   work: Work
-  /** When an event of this request last arrived. */
+  /** When the latest event of this request was received, by the monotonic clock. */
   lastProgressAt: number
-  /** Whether another endpoint could take it. */
+  /** Whether another endpoint could take the request. */
   hasAlternative: () => boolean
 }
 
-/** Why a stream or a repeatable request is moved away from an endpoint that says nothing; undefined if it stays. */
+/** Finds the reason to move a stream or a repeatable request away from an endpoint that does not respond; undefined if it stays. */
 export function silenceOf (running: RunningAttempt, now: number): string | undefined {
   const { call, history, budget, candidate, work, lastProgressAt } = running
   if (!isRepeatable(call) || history.attempt >= call.route.maxAttempts) return undefined
   const waitedMs = now - Math.max(work.startedAt, lastProgressAt)
   const isSlow = call.route.kind === 'repeatable'
-    ? waitedMs > Math.max(WATCH_MS, SLOW_TARGETS * call.route.targetMs)
-    : waitedMs > STALL_MS && candidate.endpoint.isSilent(now)
+    ? waitedMs > Math.max(WATCH_MS, SLOW_TARGET_FACTOR * call.route.targetMs)
+    : waitedMs > STALL_TIMEOUT_MS && candidate.endpoint.isSilent(now)
   if (!isSlow || budget.left < 1 || !running.hasAlternative()) return undefined
-  return `nothing for ${Math.round(waitedMs)} ms`
+  return `no response data for ${Math.round(waitedMs)} ms`
 }
--- a/entry/gateway/src/call.ts
+++ b/entry/gateway/src/call.ts
@@ -6,25 +6,25 @@
 import { regionLimitsOf, type RegionLimits } from './allowed-regions.ts'
 import { type CallDialect, type CallHead } from './dialect.ts'
 
-/** A request with everything that is known of it before it is routed. */
+/** A request with everything that is known before it is routed. */
 export interface Call extends CallHead {
   method: string
-  /** Path and query, as they came. */
+  /** Path and query as received. */
   path: string
   rawHeaders: readonly string[]
   body: Buffer | undefined
   route: Route
   organisation: OrganisationDescription | undefined
-  /** Where it may be served; also on a public route the organisation of a key that was given binds. */
+  /** Regions that may serve the request. On a public route the limits of the organisation of a given key apply too. */
   regionLimits: RegionLimits
   tier: number
   arrivedAt: number
-  /** When the caller or the route gives up, by the monotonic clock; sooner by what the box has slept since the arrival. */
+  /** When the request times out, by the monotonic clock; `remainingMs` subtracts the time for which the box was suspended since arrival. */
   deadline: number
-  /** For how long the box had been suspended when the request arrived, in ms. */
+  /** Total time for which the box had been suspended when the request arrived, in ms. */
   sleptMs: number
   documentVersion: number
-  /** Knows the same request again when it comes under another id; taken from the body when it is first asked for. */
+  /** Identifies the same request under other ids; computed from method, path, organisation and body on the first call. */
   fingerprint: () => string
 }
 
@@ -43,7 +43,7 @@
   arrivedAt: number
 }
 
-/** Finds route, organisation and deadline of a request. */
+/** Finds the route, organisation and deadline of a request. */
 export function resolveCall ({ request, body, table, dialect, arrivedAt }: ResolveOptions): Call | Refusal {
   const path = request.url ?? '/'
   const route = table.routeFor(request.headers.host ?? '', pathOnly(path))
@@ -51,7 +51,7 @@
   const head = dialect.readCall(request.headers)
   const organisation = head.key === undefined ? undefined : table.organisationOf(head.key)
   if (table.hasOrganisations && !route.isPublic && organisation === undefined) {
-    return { status: 401, code: 'ERR_GULLWALL_KEY', message: 'the key is missing or not known' }
+    return { status: 401, code: 'ERR_GULLWALL_KEY', message: 'the API key is missing or unknown' }
   }
   const method = request.method ?? 'GET'
   return {
@@ -68,11 +68,11 @@
     deadline: arrivedAt + Math.min(head.waitMs ?? Infinity, route.timeoutMs),
     sleptMs: suspensions.slept(),
     documentVersion: table.version,
-    fingerprint: once(() => fingerprintOf({ organisation: organisation?.name, method, path, body }))
+    fingerprint: memoise(() => fingerprintOf({ organisation: organisation?.name, method, path, body }))
   }
 }
 
-/** How much of its time a request has left, in ms; what the box has slept since it arrived counts. */
+/** Returns the remaining time of a request, in ms. Time for which the box was suspended since arrival counts as elapsed. */
 export function remainingMs ({ deadline, sleptMs }: Pick<Call, 'deadline' | 'sleptMs'>, slept = suspensions.slept()): number {
   return deadline - performance.now() - (slept - sleptMs)
 }
@@ -82,12 +82,12 @@
   return route.kind === 'repeatable' || (route.kind === 'stream' && route.isResumable)
 }
 
-/** Does the work with the first call only. */
-function once<Value> (make: () => Value): () => Value {
-  let made: { value: Value } | undefined
+/** Memoises a function without parameters. */
+function memoise<Value> (compute: () => Value): () => Value {
+  let cached: { value: Value } | undefined
   return () => {
-    made ??= { value: make() }
-    return made.value
+    cached ??= { value: compute() }
+    return cached.value
   }
 }
 
--- a/entry/gateway/src/endpoint-choice.ts
+++ b/entry/gateway/src/endpoint-choice.ts
@@ -1,4 +1,4 @@
-/** Puts the choice of an endpoint for one request: which endpoints it may have, and what the policy must know. */
+/** Chooses the endpoint for one request: collects the eligible endpoints and the inputs of the balancing policy. */
 import {
   candidateSet, choose, hasSlot, sizeOf, whyTooLarge, type Candidate, type Choosable, type Demand, type EndpointState
 } from '@gullwall/routing.balancer'
@@ -7,21 +7,21 @@
 import { whyNotEligible, whyNotPlace, whyNotEndpoint } from './eligibility.ts'
 import { type GatewayServices } from './index.ts'
 
-/** After a start, other entries are taken to have sent prompts to their homes for so long, in ms. */
-const TRUST_HOME_MS = 10_000
+/** Time after the start in which other entries are assumed to have sent prompts to their affinity endpoints, in ms. */
+const TRUST_AFFINITY_MS = 10_000
 
 export interface EndpointChoiceOptions {
   services: GatewayServices
   call: Call
   history: AttemptHistory
-  /** Whether the caller has had a part of its stream already. */
+  /** Whether the caller has already received a part of the stream. */
   isResumed: boolean
 }
 
-/** For the reason of a refusal, and to tell whether a service is able, so many endpoints of a service or a data centre are looked at. */
-const MAX_LOOKS = 512
+/** Maximum number of endpoints of a service or a data centre that are checked for a refusal reason or for an available endpoint. */
+const MAX_CHECKED_ENDPOINTS = 512
 
-/** Chooses the endpoint for the next attempt; none if no endpoint takes it. */
+/** Chooses the endpoint for the next attempt; undefined if no endpoint accepts the request. */
 export function chooseEndpoint ({ services, call, history, isResumed }: EndpointChoiceOptions): Candidate | undefined {
   const { view, settings, weights, startedAt, crossings } = services
   const service = pickService(services, call)
@@ -39,33 +39,33 @@
     pauseMs: call.route.pauseMs,
     excluded: history.excluded,
     sources: [],
-    trustsHome: now - startedAt < TRUST_HOME_MS,
+    trustsHome: now - startedAt < TRUST_AFFINITY_MS,
     isSensitive: isSensitive(services, call, service),
     size: sizeOf(call.prompt, outputTokensOf(services, call)),
     reserved: view.reserved.of(service)
   }
   const { endpoints, homes, sources } = candidateSet(demand, choosable(services, call, service))
-  const whole = { ...demand, homes, sources: engine?.copiesPrefixes === true ? sources : [] }
+  const fullDemand = { ...demand, homes, sources: engine?.copiesPrefixes === true ? sources : [] }
   const preferred = services.coldEngines.preferred(endpoints, call)
-  const candidate = choose(whole, preferred, now, weights)
-  return candidate ?? (preferred.length < endpoints.length ? choose(whole, endpoints, now, weights) : undefined)
+  const candidate = choose(fullDemand, preferred, now, weights)
+  return candidate ?? (preferred.length < endpoints.length ? choose(fullDemand, endpoints, now, weights) : undefined)
 }
 
-/** How long the answer to a request will probably be. */
+/** Estimates the length of the response to a request, in tokens. */
 export function outputTokensOf ({ outputs }: GatewayServices, { route, output }: Call): number {
   return Math.round(outputs.of(route.name, output ?? {}))
 }
 
-/** Why no engine of the request's services can ever run it; undefined if one can. */
+/** Returns why no engine of the route's services can ever run the request; undefined if one can. */
 export function whyNever ({ view }: GatewayServices, { route, prompt }: Call): string | undefined {
-  const whys = route.split.filter(({ weight }) => weight > 0).map(({ service }) => {
+  const reasons = route.split.filter(({ weight }) => weight > 0).map(({ service }) => {
     const engine = view.table?.service(service)?.engine
     return engine === undefined ? undefined : whyTooLarge(prompt, engine.memoryTokens)
   })
-  return whys.every((why) => why !== undefined) ? whys[0] : undefined
+  return reasons.every((reason) => reason !== undefined) ? reasons[0] : undefined
 }
 
-/** The endpoints of a service that take work, and the rules that keep this request from some of them. */
+/** Returns the usable endpoints of a service, and the rules that exclude some of them for this request. */
 function choosable ({ view, eligibility }: GatewayServices, call: Call, service: string): Choosable {
   return {
     pool: view.pool(service),
@@ -76,16 +76,16 @@
   }
 }
 
-/** Whether a request that waits at an endpoint could have another one. */
+/** Whether a request that is running at an endpoint could be sent to another one without requesting a grant. */
 export function hasAlternative ({ services, call, history }: EndpointChoiceOptions, { description }: EndpointState): boolean {
-  return isAnyOf(choosable(services, call, description.service), (other) => {
+  return hasMatch(choosable(services, call, description.service), (other) => {
     const { incarnation } = other.description
-    // What has to ask first may be refused there, and would have lost the endpoint that it waits at.
+    // A grant may be refused; the request would then have neither endpoint.
     return incarnation !== description.incarnation && !history.excluded.has(incarnation) && !services.limits.mustAsk(other)
   })
 }
 
-/** Whether a request is a stream that is sensitive to reading, and reads little itself. */
+/** Whether a request is a pause-sensitive stream: prefill at its engine delays its events, and its own prompt is short. */
 export function isSensitive ({ view }: GatewayServices, { route }: Call, service: string): boolean {
   return view.reserved.isSensitive({ route: route.name, pauseMs: route.pauseMs }, service)
 }
@@ -93,9 +93,9 @@
 const NONE: ReadonlySet<string> = new Set()
 
 /**
- * For how long no endpoint that a request might have takes any, since each wants nothing or is at its limit, in ms; 0 where one
- * takes work, or none is known.
- * @param excluded endpoints that the request has had already
+ * Returns the time until the first endpoint accepts a request again, in ms. Endpoints refuse requests during a requested backoff
+ * and at their advertised limit. The result is 0 if an endpoint accepts requests now, or if none is known.
+ * @param excluded incarnations that the request has tried already
  */
 export function restMsOfAll (
   { view, eligibility, limits, notices: { backoffs } }: GatewayServices, call: Call, excluded: ReadonlySet<string> = NONE
@@ -115,39 +115,39 @@
   return Number.isFinite(soonest) ? soonest : 0
 }
 
-/** Why no endpoint was chosen. */
+/** Returns why no endpoint was chosen. */
 export function whyNone ({ services: { view, eligibility, crossings }, call, history }: EndpointChoiceOptions): string {
-  const usable = call.route.split.flatMap(({ service }) => view.usable(service).slice(0, MAX_LOOKS))
+  const usable = call.route.split.flatMap(({ service }) => view.usable(service).slice(0, MAX_CHECKED_ENDPOINTS))
   const reasons = usable.map((endpoint) => whyNotEligible(eligibility, endpoint, call))
   const [first] = reasons
-  if (first !== undefined && reasons.every((why) => why !== undefined)) return `no endpoint may have it: ${first}`
+  if (first !== undefined && reasons.every((reason) => reason !== undefined)) return `no endpoint may have it: ${first}`
   const untried = usable.filter(({ description }, index) => reasons[index] === undefined && !history.excluded.has(description.incarnation))
   const crossing = crossings.of(call)
-  const isCut = crossing !== undefined && crossing.costMs === undefined
-  return whyNoneOf(untried, isCut) + exceptionsOf(reasons)
+  const isLinkFull = crossing !== undefined && crossing.costMs === undefined
+  return describeUntried(untried, isLinkFull) + describeIneligible(reasons)
 }
 
-/** Why none of the endpoints that a request has not had took it; `isCut` says that none of another region could. */
-function whyNoneOf (untried: readonly EndpointState[], isCut: boolean): string {
-  if (untried.length === 0) return 'no endpoint takes work'
-  if (isCut) return 'no endpoint of its region takes it, and the link to others has no room'
+/** Describes why none of the untried endpoints accepted the request. `isLinkFull`: the link to other regions has no capacity left. */
+function describeUntried (untried: readonly EndpointState[], isLinkFull: boolean): string {
+  if (untried.length === 0) return 'no endpoint accepts requests'
+  if (isLinkFull) return 'no endpoint of its region takes it, and the link to others has no room'
   return untried.some(hasSlot) ? 'the memory of all endpoints with a free slot is taken' : 'the slots of all endpoints are taken'
 }
 
-/** Which endpoints did not count, and why the first of them. */
-function exceptionsOf (reasons: ReadonlyArray<string | undefined>): string {
-  const given = reasons.filter((why) => why !== undefined)
-  return given.length === 0 ? '' : `; ${given.length} of ${reasons.length} may not have it: ${given[0]}`
+/** Describes how many endpoints are not eligible, with the reason of the first one. */
+function describeIneligible (reasons: ReadonlyArray<string | undefined>): string {
+  const refusals = reasons.filter((reason) => reason !== undefined)
+  return refusals.length === 0 ? '' : `; ${refusals.length} of ${reasons.length} may not have it: ${refusals[0]}`
 }
 
-/** One of the route's services by weight; one without endpoints gives way to the others. */
+/** Picks one of the route's services at random by weight; services without an eligible endpoint are left out. */
 function pickService (services: GatewayServices, call: Call): string {
   const { route } = call
-  const weighed = route.split.filter((part) => part.weight > 0)
-  const [first] = weighed
-  if (weighed.length <= 1) return first?.service ?? ''
-  const able = weighed.filter((part) => isAble(services, call, part.service))
-  const parts = able.length > 0 ? able : weighed
+  const weighted = route.split.filter((part) => part.weight > 0)
+  const [first] = weighted
+  if (weighted.length <= 1) return first?.service ?? ''
+  const available = weighted.filter((part) => isAvailable(services, call, part.service))
+  const parts = available.length > 0 ? available : weighted
   let draw = Math.random() * parts.reduce((sum, part) => sum + part.weight, 0)
   for (const part of parts) {
     draw -= part.weight
@@ -156,18 +156,18 @@
   return parts[0]?.service ?? ''
 }
 
-/** Whether a service has an endpoint that the request may have. */
-function isAble (services: GatewayServices, call: Call, service: string): boolean {
-  return isAnyOf(choosable(services, call, service), () => true)
+/** Whether a service has an endpoint that the request may be sent to. */
+function isAvailable (services: GatewayServices, call: Call, service: string): boolean {
+  return hasMatch(choosable(services, call, service), () => true)
 }
 
-/** Whether any endpoint that a request may have fits. The first that is looked at tells, but where rules bar many. */
-function isAnyOf ({ pool, mayGoTo, accepts }: Choosable, fits: (endpoint: EndpointState) => boolean): boolean {
+/** Whether an endpoint that the request may be sent to meets a condition; usually decided by the first endpoint that is checked. */
+function hasMatch ({ pool, mayGoTo, accepts }: Choosable, matches: (endpoint: EndpointState) => boolean): boolean {
   for (const { dataCentre, members: { items } } of pool.places) {
     if (!mayGoTo(dataCentre)) continue
-    for (let look = 0; look < Math.min(MAX_LOOKS, items.length); look += 1) {
-      const endpoint = items[look]
-      if (endpoint !== undefined && fits(endpoint) && accepts(endpoint)) return true
+    for (let index = 0; index < Math.min(MAX_CHECKED_ENDPOINTS, items.length); index += 1) {
+      const endpoint = items[index]
+      if (endpoint !== undefined && matches(endpoint) && accepts(endpoint)) return true
     }
   }
   return false
--- a/entry/gateway/src/endpoint-limits.ts
+++ b/entry/gateway/src/endpoint-limits.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps to what endpoints name as the requests a second that they take from all boxes together: a limited endpoint gets a request
- * only under a grant of control, which shares the limit out. A box without a grant sends nothing there, also one that is cut off.
+ * Enforces the rate limits that endpoints advertise, in requests a second from all boxes together. A request is sent to a limited
+ * endpoint only under a grant of the control process, which divides the limit among the boxes. A box without a grant sends nothing
+ * to a limited endpoint, even when it can't reach control.
  */
 import { type HeldLease } from '@gullwall/control.registry'
 import { MOST_COUNTED_PER_SECOND } from '@gullwall/routing.rates'
@@ -10,30 +11,30 @@
 import { type GrantPurse, type HeldGrant } from './grant-purse.ts'
 import { OnDemandAsker, type OnDemandAskerOptions } from './on-demand-asker.ts'
 
-/** What was decided since the start, for the metrics. */
+/** Counts of decisions since the start, for the metrics. */
 export interface LimitTotals {
-  /** Requests that were kept from a limited endpoint at least once. */
+  /** Requests for which a limited endpoint was excluded at least once, because there was no grant. */
   kept: number
   /** Requests sent to limited endpoints under a grant. */
   sent: number
-  /** Requests that were chosen for an endpoint and kept back before the first byte, since it had named a limit or the grant was over. */
+  /** Requests that were not sent to the chosen endpoint, because it advertised a limit or the grant expired before the first byte. */
   withheld: number
 }
 
 export interface EndpointLimitsOptions extends OnDemandAskerOptions {
-  /** Whether an endpoint is cold, so that its grants are bounded for that reason too. */
+  /** Whether an endpoint is cold; control then bounds its grants for that reason too. */
   isCold: (endpoint: EndpointState) => boolean
-  /** Told of an endpoint whose limit is over. */
+  /** Called when an endpoint no longer advertises a limit. */
   onOver: (incarnation: string) => void
 }
 
 export class EndpointLimits {
   readonly totals: LimitTotals = { kept: 0, sent: 0, withheld: 0 }
   readonly asker: OnDemandAsker
-  /** The endpoints that have named a limit, in requests a second. */
+  /** Advertised limits by incarnation, in requests a second. */
   private readonly limits = new Map<string, number>()
-  /** The endpoints from which a request was kept. */
-  private readonly keptFrom = new WeakMap<Call, Set<string>>()
+  /** Limited endpoints that were excluded for each request. */
+  private readonly excludedFor = new WeakMap<Call, Set<string>>()
   private readonly purse: GrantPurse
 
   constructor (private readonly options: EndpointLimitsOptions) {
@@ -45,7 +46,7 @@
     this.asker.stop()
   }
 
-  /** Takes what an endpoint has named, or that it names nothing any more. */
+  /** Records the limit that an endpoint advertises, or the end of its limit. */
   note ({ incarnation, limit }: Pick<HeldLease, 'incarnation' | 'limit'>): void {
     const perSecond = limit?.perSecond
     if (perSecond !== undefined && perSecond <= MOST_COUNTED_PER_SECOND) {
@@ -57,19 +58,19 @@
     this.options.onOver(incarnation)
   }
 
-  /** Forgets an endpoint that is gone. */
+  /** Removes all state of an endpoint. */
   forget (incarnation: string): void {
     if (!this.limits.delete(incarnation)) return
     this.asker.forget(incarnation)
     this.purse.forget(incarnation)
   }
 
-  /** The limit of an endpoint in requests a second; undefined where it takes any number. */
+  /** Returns the limit of an endpoint in requests a second; undefined if it has none. */
   limitOf (incarnation: string): number | undefined {
     return this.limits.get(incarnation)
   }
 
-  /** The endpoints that are limited, for the status. */
+  /** Returns the limited endpoints, for the status page. */
   all (): Array<{ endpoint: string, perSecond: number }> {
     return [...this.limits].map(([endpoint, perSecond]) => ({ endpoint, perSecond }))
   }
@@ -78,50 +79,50 @@
     return this.limits.size
   }
 
-  /** The rule: a limited endpoint is for requests that have a grant, or may ask for one now. */
+  /** Eligibility rule: a limited endpoint is eligible if a grant is available or may be requested now. */
   readonly rule: EndpointRule = ({ description: { incarnation } }, call) => {
     const perSecond = this.limits.get(incarnation)
     if (perSecond === undefined) return undefined
     const waitMs = this.waitMs(incarnation)
     if (waitMs === 0) return undefined
-    this.noteKept(call, incarnation)
-    return `${incarnation} takes ${perSecond} requests a second from all boxes; no grant before ${Math.ceil(waitMs)} ms`
+    this.recordExclusion(call, incarnation)
+    return `${incarnation} accepts ${perSecond} requests a second from all boxes; no grant within ${Math.ceil(waitMs)} ms`
   }
 
-  /** In which time a request may have an endpoint, or may ask for that, in ms; 0 where it may now. */
+  /** Returns the time until a request may use an endpoint or request a grant for it, in ms; 0 if it may now. */
   waitMs (incarnation: string): number {
     if (!this.limits.has(incarnation)) return 0
     return this.purse.left(incarnation, this.options.now()) > 0 ? 0 : this.asker.waitMs(incarnation)
   }
 
-  /** Whether a request that is to go to an endpoint has to ask for a grant first: it is limited, and none is at hand. */
+  /** Whether a grant must be requested before a request is sent to an endpoint: the endpoint is limited and no grant is available. */
   mustAsk ({ description: { incarnation } }: EndpointState): boolean {
     return this.limits.has(incarnation) && this.purse.left(incarnation, this.options.now()) === 0
   }
 
-  /** Asks for a grant for one request; resolves once there is an answer, or none in time. */
+  /** Requests a grant for one request; resolves when control has responded or the wait has timed out. */
   async askFor (endpoint: EndpointState): Promise<void> {
     const { incarnation, service } = endpoint.description
     const perSecond = this.limits.get(incarnation)
     await this.asker.ask({ incarnation, service, perSecond, isWarm: !this.options.isCold(endpoint) })
   }
 
-  /** Takes a grant for one request that is sent now; undefined where there is none. */
+  /** Uses a grant for one request that is sent now; undefined if none is available. */
   take (incarnation: string): HeldGrant | undefined {
     const grant = this.purse.takeGrant(incarnation, this.options.now())
     if (grant !== undefined) this.totals.sent += 1
     return grant
   }
 
-  /** What is to be told of a request's choice; empty where no limited endpoint had a part in it. */
+  /** Describes for the log how many limited endpoints were excluded for a request; empty if none was. */
   noteOf (call: Call): string {
-    const kept = this.keptFrom.get(call)
-    return kept === undefined ? '' : `; kept from ${kept.size} limited without a grant`
+    const excluded = this.excludedFor.get(call)
+    return excluded === undefined ? '' : `; excluded limited endpoints without a grant: ${excluded.size}`
   }
 
-  private noteKept (call: Call, incarnation: string): void {
-    const kept = this.keptFrom.get(call)
-    if (kept === undefined) this.totals.kept += 1
-    this.keptFrom.set(call, (kept ?? new Set()).add(incarnation))
+  private recordExclusion (call: Call, incarnation: string): void {
+    const excluded = this.excludedFor.get(call)
+    if (excluded === undefined) this.totals.kept += 1
+    this.excludedFor.set(call, (excluded ?? new Set()).add(incarnation))
   }
 }
--- a/entry/gateway/src/endpoint-notices.ts
+++ b/entry/gateway/src/endpoint-notices.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out what endpoints say of themselves in the heads of their answers: one that drains gets nothing more, and one that
- * wants to be left alone gets nothing for so long. Both are kept by this process from the moment in which it read the head, also
+ * Applies the notices that endpoints put into the heads of their responses. An endpoint that drains receives no more requests, and
+ * one that requests a backoff receives none for that time. A notice applies in this process as soon as the head has been read, even
  * while no control process can be reached.
  */
 import { setImmediate as nextTurn } from 'node:timers/promises'
@@ -12,27 +12,27 @@
 import { type EndpointRule } from './eligibility.ts'
 import { type GatewayServices } from './index.ts'
 
-/** Another process than the meant one answered with this status. */
-const MISDIRECTED = 421
-/** Endpoints whose draining control is told of again where it says otherwise; the oldest gives way. */
-const MAX_TOLD = 4096
+/** Another process than the addressed endpoint responds with this status. */
+const MISDIRECTED_REQUEST_STATUS = 421
+/** Maximum number of draining endpoints that are remembered, to report them again if control lists them as ready; the oldest is dropped. */
+const MAX_DRAINING = 4096
 
-type ToldLimit = MessageOf<'limits'>['limits'][number]
+type LimitReport = MessageOf<'limits'>['limits'][number]
 
-/** What was heard since the start, for the metrics. */
+/** Counts of notices since the start, for the metrics. */
 export interface NoticeTotals {
-  /** Endpoints that said in an answer, before anybody else told so, that they drain. */
+  /** Endpoints whose draining became known here first, from a response. */
   draining: number
-  /** Times and limits that could not be understood. */
+  /** Backoff times and limits that could not be parsed. */
   unreadable: number
-  /** Answers that named a limit. */
+  /** Responses that advertised a limit. */
   limits: number
 }
 
-/** The notices of one answer. */
+/** The notices of one response. */
 export interface HeardNotices {
   status: number
-  /** When the request was sent that it answers, by the monotonic clock. */
+  /** When the request of the response was sent, by the monotonic clock. */
   sentAt: number
   notices: Notices
 }
@@ -40,7 +40,7 @@
 export class EndpointNotices {
   readonly totals: NoticeTotals = { draining: 0, unreadable: 0, limits: 0 }
   readonly backoffs: BackoffTable
-  private readonly heardDraining = new Set<string>()
+  private readonly draining = new Set<string>()
   private isWaking = false
 
   constructor (private readonly services: Pick<GatewayServices, 'logger' | 'view' | 'controlLinks'>) {
@@ -55,28 +55,28 @@
     this.backoffs.stop()
   }
 
-  /** The rule: an endpoint that wants nothing gets nothing, and one that comes back as much as its slow start allows. */
+  /** Eligibility rule: no requests during a requested backoff, and afterwards as many as slow start allows. */
   readonly rule: EndpointRule = ({ description }) => this.backoffs.whyNot(description.incarnation)
 
-  /** Why a request is not sent to an endpoint after all, though it was chosen. */
+  /** Returns why a request may no longer be sent to the chosen endpoint; undefined if it may. */
   whyNotNow ({ description: { incarnation } }: EndpointState): string | undefined {
     const { view } = this.services
-    if (!view.takesWork(incarnation)) return `${incarnation} takes no new work any more`
+    if (!view.takesWork(incarnation)) return `${incarnation} no longer accepts new requests`
     return this.backoffs.remainingMs(incarnation) > 0 ? this.backoffs.whyNot(incarnation) : undefined
   }
 
-  /** Takes leave to send a request; undefined if another one has used the room since the choice. */
+  /** Acquires a permit to send a request; undefined if other requests have used the slow-start window since the choice. */
   acquire ({ description }: EndpointState): Permit | undefined {
     return this.backoffs.acquire(description.incarnation)
   }
 
-  /** Takes the notices of an answer to a request that was sent to an endpoint. */
+  /** Applies the notices of a response to a request that was sent to an endpoint. */
   take (sentTo: EndpointDescription, { status, sentAt, notices }: HeardNotices): void {
-    const said = describeNotices(notices)
-    const incarnation = this.answeredBy(sentTo, status)
+    const description = describeNotices(notices)
+    const incarnation = this.findResponder(sentTo, status)
     if (incarnation !== undefined && notices.limit !== undefined) this.noteLimit(incarnation, notices.limit, sentAt)
-    if (said === undefined) return
-    const why = `answered ${status}, ${said}`
+    if (description === undefined) return
+    const why = `responded ${status}: ${description}`
     this.services.logger.sampled('notice', { channel: 'endpoint', event: 'notice', endpoint: incarnation ?? sentTo.address, why })
     if (notices.unreadable !== undefined) this.totals.unreadable += 1
     if (notices.limit?.perSecond !== undefined) this.totals.limits += 1
@@ -85,24 +85,27 @@
     if (notices.isDraining) this.noteDraining(incarnation)
   }
 
-  /** Tells control what endpoints were heard to say of their limits here where a control process holds something else. */
-  limitsToTell (told: readonly Lease[]): ToldLimit[] {
+  /** Returns the limits known here that differ from those in the leases of a control process. */
+  limitsToTell (leases: readonly Lease[]): LimitReport[] {
     const now = performance.now()
-    return told.flatMap(({ incarnation, limit }) => {
-      const held = this.services.view.leases.get(incarnation)?.limit
-      return held === undefined || held.perSecond === limit?.perSecond ? [] : [{ incarnation, ...limitToWire(held, now) }]
+    return leases.flatMap(({ incarnation, limit }) => {
+      const known = this.services.view.leases.get(incarnation)?.limit
+      return known === undefined || known.perSecond === limit?.perSecond ? [] : [{ incarnation, ...limitToWire(known, now) }]
     })
   }
 
-  /** Gives the endpoints that said here that they drain, of those that another process takes to be ready. */
+  /** Returns the incarnations that are known here to drain, but are ready in the leases of another process. */
   contradicted (leases: readonly Lease[]): string[] {
-    if (this.heardDraining.size === 0) return []
-    return leases.filter(({ state, incarnation }) => state === 'ready' && this.heardDraining.has(incarnation)).map(({ incarnation }) => incarnation)
+    if (this.draining.size === 0) return []
+    return leases.filter(({ state, incarnation }) => state === 'ready' && this.draining.has(incarnation)).map(({ incarnation }) => incarnation)
   }
 
-  /** The process that has the address of the one that was meant, if that is known; the one that was meant has said nothing. */
-  private answeredBy ({ incarnation, address }: EndpointDescription, status: number): string | undefined {
-    if (status !== MISDIRECTED) return incarnation
+  /**
+   * Returns the incarnation that sent the response. A misdirected request was answered by another incarnation at the same address;
+   * undefined if that one is not known.
+   */
+  private findResponder ({ incarnation, address }: EndpointDescription, status: number): string | undefined {
+    if (status !== MISDIRECTED_REQUEST_STATUS) return incarnation
     const holder = this.services.view.leases.holderOf(address)
     return holder === incarnation ? undefined : holder
   }
@@ -119,13 +122,13 @@
   private noteDraining (incarnation: string): void {
     if (!this.services.view.leases.noteDraining(incarnation)) return
     this.totals.draining += 1
-    this.heardDraining.add(incarnation)
-    const [oldest] = this.heardDraining
-    if (this.heardDraining.size > MAX_TOLD && oldest !== undefined) this.heardDraining.delete(oldest)
+    this.draining.add(incarnation)
+    const [oldest] = this.draining
+    if (this.draining.size > MAX_DRAINING && oldest !== undefined) this.draining.delete(oldest)
     this.services.controlLinks.tellDraining([incarnation])
   }
 
-  /** Has requests that wait look again, once for all endpoints whose time ends in the same moment. */
+  /** Wakes the requests that wait for an endpoint, once for all backoffs that end in the same turn of the event loop. */
   private async wakeSoon (): Promise<void> {
     if (this.isWaking) return
     this.isWaking = true
--- a/entry/gateway/src/events.ts
+++ b/entry/gateway/src/events.ts
@@ -1,35 +1,35 @@
-/** Cuts a stream of bytes into whole events, so that nothing is passed on of an event that breaks off. */
+/** Splits a byte stream into complete server-sent events, so that no part of an incomplete event is forwarded. */
 
 const LINE_FEED = 10
 const CARRIAGE_RETURN = 13
 const ID_LINE = /^id: ?(.*)$/m
 
-/** Whole events that have arrived, and the id of the last of them. */
+/** Complete events, and the id of the last one. */
 export interface WholeEvents {
   bytes: Buffer
   lastId: string | undefined
 }
 
 export class EventCutter {
-  private rest: Buffer = Buffer.alloc(0)
+  private incomplete: Buffer = Buffer.alloc(0)
 
-  /** Takes bytes and gives the whole events among all that has arrived; none if there is none. */
+  /** Adds bytes and returns the events that are now complete; undefined if none is. */
   take (chunk: Buffer): WholeEvents | undefined {
-    const bytes = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk])
+    const bytes = this.incomplete.length === 0 ? chunk : Buffer.concat([this.incomplete, chunk])
     const end = endOfLastEvent(bytes)
-    this.rest = bytes.subarray(end)
+    this.incomplete = bytes.subarray(end)
     if (end === 0) return undefined
-    const whole = bytes.subarray(0, end)
-    return { bytes: whole, lastId: lastIdOf(whole) }
+    const complete = bytes.subarray(0, end)
+    return { bytes: complete, lastId: lastIdOf(complete) }
   }
 
-  /** What follows the last whole event, where the stream has ended as it should. */
+  /** Returns the bytes behind the last complete event. They are forwarded only if the stream has ended normally. */
   remainder (): Buffer {
-    return this.rest
+    return this.incomplete
   }
 }
 
-/** The offset behind the last empty line. */
+/** Returns the offset behind the last empty line; 0 if there is none. */
 function endOfLastEvent (bytes: Buffer): number {
   for (let index = bytes.length - 1; index > 0; index--) {
     if (bytes[index] !== LINE_FEED) continue
--- a/entry/gateway/src/exchange.ts
+++ b/entry/gateway/src/exchange.ts
@@ -1,13 +1,13 @@
-/** One attempt: one request on one connection to one endpoint. */
+/** One HTTP exchange of an attempt: one request on one connection to one endpoint. */
 import { type Dispatcher } from 'undici'
 import { messageOf } from '@gullwall/core.error'
 import { type Headers } from './dialect.ts'
 
-/** The head of an endpoint's answer. */
+/** The head of an endpoint's response. */
 export interface ExchangeHead {
   status: number
   headers: Headers
-  /** When the request was sent that it answers, by the monotonic clock. */
+  /** When the request of the response was sent, by the monotonic clock. */
   sentAt: number
 }
 
@@ -16,27 +16,27 @@
   path: string
   headers: string[]
   body: Buffer | undefined
-  /** How long the connection may take to be made, in ms. */
+  /** Timeout for a connection, in ms. */
   connectMs: number
-  /** Asked right before the first byte is written, after any wait for a connection: why it is no longer to be sent. */
+  /** Called right before the first byte is written, after any wait for a connection. Returns why the request may no longer be sent. */
   whyNot: () => string | undefined
-  /** Whether the connection that is ending right now was closed and not reset. */
+  /** Whether the connection that is ending now was closed and not reset. */
   wasClosedWell: () => Promise<boolean>
 }
 
-/** Told what arrives, in order. */
+/** Receives the parts of the response in order. */
 export interface ExchangeListener {
-  /** A head that is not that of the answer itself (1xx). */
+  /** Called for each interim head (1xx). */
   onInterim (head: ExchangeHead): void
-  /** False ends the exchange: the head is not one of the expected answer. */
+  /** Called for the final head. Returns false if it does not belong to the expected response; the exchange then ends. */
   onHead (head: ExchangeHead): boolean
   onData (chunk: Buffer): void
 }
 
 /**
- * How an exchange ended. `unsent`: not a byte was written, so that it certainly did not run; `isRefused` says that nothing
- * listens at its address. `withheld`: the same, though the endpoint could be reached. `broken`: it may have run; `isClosed`
- * says that the connection ended by itself, and not because it was given up here.
+ * How an exchange ended. `unsent`: no byte was written, so that the request certainly did not run; `isRefused` says that nothing
+ * listens at the address. `withheld`: no byte was written, because the request was no longer allowed. `broken`: the request may have
+ * run; `isClosed` says that the connection was not closed by this process.
  */
 export type ExchangeEnd =
   | { type: 'complete' }
@@ -45,10 +45,10 @@
   | { type: 'broken', why: string, isClosed: boolean }
   | { type: 'cancelled' }
 
-/** The lowest status of an answer; those below it precede one. */
-const FINAL = 200
-/** Answers that have no body, and so no need of a length. */
-const NO_BODY = new Set([204, 304])
+/** The lowest status of a final response; lower ones are interim. */
+const MIN_FINAL_STATUS = 200
+/** Statuses of responses without a body, which need no length. */
+const NO_BODY_STATUSES = new Set([204, 304])
 
 type Handler = Required<Pick<Dispatcher.DispatchHandler,
   'onRequestStart' | 'onResponseStart' | 'onResponseData' | 'onResponseEnd' | 'onResponseError'>>
@@ -75,17 +75,17 @@
     }
   }
 
-  /** Whether the request may have reached the endpoint. */
+  /** Whether a byte of the request may have been written. */
   get isSent (): boolean {
     return this.controller !== undefined
   }
 
-  /** Ends the exchange and its connection; the endpoint sees that its caller has left. */
+  /** Ends the exchange for a caller that has disconnected, and closes the connection to the endpoint. */
   cancel (): void {
     this.end({ type: 'cancelled' })
   }
 
-  /** Ends the exchange in favour of another attempt. */
+  /** Ends the exchange, so that another attempt can be made. */
   giveUp (why: string): void {
     this.end(this.isSent ? { type: 'broken', why, isClosed: false } : { type: 'unsent', why })
   }
@@ -98,9 +98,9 @@
     this.controller?.resume()
   }
 
-  /** Ends an answer that has no length: it is whole only if its connection was closed and not reset. */
-  private async endWith (closedWell: Promise<boolean>): Promise<void> {
-    this.end(await closedWell ? { type: 'complete' } : { type: 'broken', why: 'the connection was reset', isClosed: true })
+  /** Ends a response without a length, which is complete only if its connection was closed and not reset. */
+  private async endUnframed (wasClosedCleanly: Promise<boolean>): Promise<void> {
+    this.end(await wasClosedCleanly ? { type: 'complete' } : { type: 'broken', why: 'the connection was reset', isClosed: true })
   }
 
   private end (end: ExchangeEnd): void {
@@ -114,11 +114,11 @@
   private handler ({ wasClosedWell, whyNot }: ExchangeRequest, connectBy: number): Handler {
     return {
       onRequestStart: (controller) => {
-        // A process that was frozen finds its connection before the timer; what it was given leave to send is over by then.
-        if (performance.now() > connectBy) this.end({ type: 'unsent', why: 'the connection was made too late' })
+        // A process that was suspended may handle the connection before the timer; its permit to send has expired by then.
+        if (performance.now() > connectBy) this.end({ type: 'unsent', why: 'the connection was established too late' })
         if (this.isOver) {
-          // Nothing has been written yet, and nothing will be.
-          controller.abort(new Error('given up before it was sent'))
+          // No byte has been written yet; aborting here ensures that none will be.
+          controller.abort(new Error('the exchange ended before the request was sent'))
           return
         }
         clearTimeout(this.connectTimer)
@@ -132,18 +132,18 @@
         }
       },
       onResponseStart: (_controller, status, headers) => {
-        if (status < FINAL) this.listener.onInterim({ status, headers, sentAt: this.sentAt })
-        if (this.isOver || status < FINAL) return
-        this.isFramed = headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined || NO_BODY.has(status)
+        if (status < MIN_FINAL_STATUS) this.listener.onInterim({ status, headers, sentAt: this.sentAt })
+        if (this.isOver || status < MIN_FINAL_STATUS) return
+        this.isFramed = headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined || NO_BODY_STATUSES.has(status)
         if (this.listener.onHead({ status, headers, sentAt: this.sentAt })) return
-        this.end({ type: 'broken', why: 'the head is not that of an answer to this request', isClosed: false })
+        this.end({ type: 'broken', why: 'the response head does not match the request', isClosed: false })
       },
       onResponseData: (_controller, chunk) => {
         if (!this.isOver) this.listener.onData(chunk)
       },
       onResponseEnd: () => {
         if (this.isFramed) this.end({ type: 'complete' })
-        else void this.endWith(wasClosedWell())
+        else void this.endUnframed(wasClosedWell())
       },
       onResponseError: (_controller, error) => {
         const why = messageOf(error)
--- a/entry/gateway/src/forward.ts
+++ b/entry/gateway/src/forward.ts
@@ -1,4 +1,4 @@
-/** Carries one request: chooses endpoints, sends attempts one after the other, and ends the caller's answer. */
+/** Forwards one request: chooses endpoints, sends attempts one after the other, and completes the response to the caller. */
 import { strainOf, type Candidate, type Work } from '@gullwall/routing.balancer'
 import { type CallerAnswer, type ErrorAnswer } from './answer.ts'
 import { AnswerReceiver, hasRun, verdictOf, type AttemptEnd } from './answer-receiver.ts'
@@ -18,16 +18,16 @@
 import { RequestRecorder } from './request-recorder.ts'
 import { takeLeave, whyNoLeave, type SendingLeave } from './sending-leave.ts'
 
-/** An address that takes no connection for so long is left, in ms: many round trips between data centres of one region. */
-const CONNECT_MS = 350
-/** Connections to an endpoint whose service is not in the document. */
+/** Timeout for a connection to an endpoint, in ms: many round trips between data centres of one region. */
+const CONNECT_TIMEOUT_MS = 350
+/** Connections to an endpoint whose service is not in the routing document. */
 const DEFAULT_CONNECTIONS = 100
-/** Clock slack so that an endpoint does not go on past the caller's deadline, in ms. */
+/** Time that is subtracted from an endpoint's deadline, so that the endpoint stops before the caller's deadline, in ms. */
 const DEADLINE_SLACK_MS = 4
-/** The shortest time after which a refused caller is asked to come back, in ms. */
-const RETRY_AFTER_MS = 300
+/** Minimum delay after which a refused caller may retry, in ms. */
+const MIN_RETRY_AFTER_MS = 300
 
-/** One attempt that is about to be sent. */
+/** An attempt that is ready to be sent. */
 interface Attempt {
   candidate: Candidate
   leave: SendingLeave
@@ -38,11 +38,12 @@
   private readonly recorder: RequestRecorder
   private lastEventId: string | undefined
   private exchange: Exchange | undefined
-  /** Since when a request that may have run waits for its next endpoint, and until when; others may take that first. */
+  /** When a request that may have run began to wait for its next endpoint; undefined while no such request waits. */
   private resumedAt: number | undefined
-  private waitsUntil = -Infinity
+  /** Until when the request waits for its next endpoint. */
+  private waitDeadline = -Infinity
   private isOver = false
-  private hasBegunToRun = false
+  private hasRecordedUsage = false
   private deadlineTimer: NodeJS.Timeout | undefined
 
   constructor (private readonly services: GatewayServices, private readonly call: Call, private readonly answer: CallerAnswer) {
@@ -57,7 +58,7 @@
     this.services.outputs.note(call.route.name, call.output ?? {})
     this.services.view.reserved.noteRequest({ route: call.route.name }, call.prompt.at(-1)?.tokens ?? 0)
     await connectionsSeen()
-    this.answer.onLeft(() => this.callerLeft())
+    this.answer.onLeft(() => this.cancel())
     this.deadlineTimer = setTimeout(() => this.deadlinePassed(), call.deadline - performance.now())
     try {
       await this.attempts()
@@ -67,16 +68,16 @@
   }
 
   private async attempts (): Promise<void> {
-    const never = whyNever(this.services, this.call)
-    if (never !== undefined) this.refuse(never)
+    const permanentReason = whyNever(this.services, this.call)
+    if (permanentReason !== undefined) this.refuse(permanentReason)
     while (!this.isOver) {
-      if (this.isHeld()) return
+      if (this.refuseIfQuarantined()) return
       if (remainingMs(this.call) <= 0) {
         this.deadlinePassed()
         return
       }
       const candidate = await this.nextCandidate()
-      if (this.isOver || this.isHeld()) return
+      if (this.isOver || this.refuseIfQuarantined()) return
       if (candidate === undefined) {
         this.refuse(whyNone(this.choiceOptions))
         return
@@ -97,13 +98,13 @@
     }
   }
 
-  /** Refuses a request under which endpoints crash. */
-  private isHeld (): boolean {
-    const why = this.services.quarantine.whyNot(this.call)
-    if (why === undefined) return false
+  /** Refuses the request if endpoints crash under it; returns whether it was refused. */
+  private refuseIfQuarantined (): boolean {
+    const reason = this.services.quarantine.whyNot(this.call)
+    if (reason === undefined) return false
     this.services.quarantine.refused += 1
     this.recorder.tellFingerprint()
-    this.refuse(why, HELD_RETRY_MS)
+    this.refuse(reason, HELD_RETRY_MS)
     return true
   }
 
@@ -116,26 +117,26 @@
     return { services: this.services, call: this.call, history: this.history, isResumed: this.isResumed }
   }
 
-  /** Chooses an endpoint, and waits a little for one where none is known or has room. */
+  /** Chooses an endpoint. If none is known or has capacity, waits for one for a limited time. */
   private async nextCandidate (): Promise<Candidate | undefined> {
     const { call, services, history } = this
-    // What may have run can't be refused any more; it fails where no endpoint takes it.
+    // A request that may have run can't be refused; it fails if no endpoint accepts it.
     if (history.mayHaveRun && this.hasUntried) this.resumedAt ??= performance.now()
     const { resumedAt } = this
     for (;;) {
       const candidate = chooseEndpoint(this.choiceOptions)
       if (candidate !== undefined || this.isOver) return candidate
       const now = performance.now()
-      const waits = waitsUntil({ call, resumedAt, restMs: restMsOfAll(services, call, history.excluded), now })
-      // The wait for the end of a rest goes on through the slow start after it.
-      this.waitsUntil = resumedAt === undefined ? waits : Math.max(this.waitsUntil, waits)
-      const left = this.waitsUntil - now
-      if (left <= 0) return undefined
-      await services.view.changeWithin(left, waitRank(call))
+      const waitDeadline = waitsUntil({ call, resumedAt, restMs: restMsOfAll(services, call, history.excluded), now })
+      // A resumed request keeps waiting during the slow start that follows a backoff.
+      this.waitDeadline = resumedAt === undefined ? waitDeadline : Math.max(this.waitDeadline, waitDeadline)
+      const maxWaitMs = this.waitDeadline - now
+      if (maxWaitMs <= 0) return undefined
+      await services.view.changeWithin(maxWaitMs, waitRank(call))
     }
   }
 
-  /** Whether an endpoint takes work that this request has not tried, though a rule may keep it from there now. */
+  /** Whether a usable endpoint has not been tried yet, even if a rule excludes that endpoint now. */
   private get hasUntried (): boolean {
     const { call, history, services: { view } } = this
     const usable = call.route.split.flatMap(({ service }) => view.usable(service))
@@ -146,7 +147,7 @@
     const { call, services } = this
     const { endpoint, unreadTokens, urgency } = candidate
     this.resumedAt = undefined
-    this.waitsUntil = -Infinity
+    this.waitDeadline = -Infinity
     services.workExchange.noteSending(endpoint, call.prompt)
     const sent = {
       prompt: call.prompt,
@@ -159,7 +160,7 @@
     const work = endpoint.begin(sent, performance.now())
     services.workExchange.noteSent(unreadTokens)
     this.recorder.dispatched(candidate)
-    const noteCrossing = services.crossings.begin(call, endpoint)
+    const recordResponseBytes = services.crossings.begin(call, endpoint)
     const receiver = new AnswerReceiver(this, work, candidate, leave.permit)
     const exchange = this.send(candidate, receiver, leave)
     this.exchange = exchange
@@ -167,9 +168,9 @@
     const end = receiver.endOf(await exchange.ended)
     clearInterval(watch)
     leave.permit.released()
-    noteCrossing(receiver.receivedBytes)
+    recordResponseBytes(receiver.receivedBytes)
     const verdict = verdictOf(end)
-    if (call.route.kind !== 'stream' && hasRun(end)) this.noteBegun(work.startedAt)
+    if (call.route.kind !== 'stream' && hasRun(end)) this.recordUsage(work.startedAt)
     endpoint.end(work, verdict, performance.now())
     if (verdict === 'unreachable' || verdict === 'ended') services.workExchange.noteUnreachable()
     services.view.wake()
@@ -188,14 +189,14 @@
       path: call.path,
       headers: this.headersFor(candidate),
       body: call.body,
-      connectMs: CONNECT_MS,
-      whyNot: () => this.whyNotNow(candidate, leave),
+      connectMs: CONNECT_TIMEOUT_MS,
+      whyNot: () => this.findRefusalReason(candidate, leave),
       wasClosedWell: async () => await services.connections.wasClosedWell()
     }, receiver)
   }
 
-  /** Why a request is not sent after all, once a connection is free. */
-  private whyNotNow ({ endpoint }: Candidate, leave: SendingLeave): string | undefined {
+  /** Returns why the request may no longer be sent when a connection is available; undefined if it may. */
+  private findRefusalReason ({ endpoint }: Candidate, leave: SendingLeave): string | undefined {
     const { services, call } = this
     return whyNotPlace(services.eligibility, endpoint.description.dataCentre, call) ??
       services.quarantine.whyNot(call) ?? services.notices.whyNotNow(endpoint) ?? whyNoLeave(services, endpoint, leave)
@@ -213,7 +214,7 @@
     })
   }
 
-  /** Carries out what was decided after an attempt. */
+  /** Carries out the step that was decided after an attempt. */
   private follow (step: NextStep): void {
     switch (step.type) {
       case 'over':
@@ -227,7 +228,7 @@
         break
       case 'pass-failure':
         this.isOver = true
-        this.recorder.ended('fail', `failed-${step.head.status}`, `the endpoint answered ${step.head.status}: ${step.why}`)
+        this.recorder.ended('fail', `failed-${step.head.status}`, `the endpoint responded ${step.head.status}: ${step.why}`)
         this.answer.whole(step.head.status, step.head.headers, step.body)
         break
       case 'fail':
@@ -236,15 +237,16 @@
     }
   }
 
-  /** Whether the caller has had a part of its stream from an earlier attempt. */
+  /** Whether the caller has received a part of the stream from an earlier attempt. */
   private get isResumed (): boolean {
     return this.lastEventId !== this.call.lastEventId
   }
 
+  /** Checks a running attempt at each interval: ends it at the deadline, and abandons it if its endpoint does not respond. */
   private watch (candidate: Candidate, work: Work): void {
     const { exchange, recorder } = this
     if (this.isOver || exchange === undefined) return
-    // A box that was suspended finds its timers late.
+    // The deadline timer fires late if the box was suspended.
     if (remainingMs(this.call) <= 0) {
       this.deadlinePassed()
       return
@@ -256,35 +258,38 @@
       lastProgressAt: recorder.latestEventAt,
       hasAlternative: () => hasAlternative(this.choiceOptions, candidate.endpoint)
     }
-    const why = silenceOf(running, performance.now())
-    if (why === undefined) return
-    recorder.decided('stop', why)
-    exchange.giveUp(why)
+    const reason = silenceOf(running, performance.now())
+    if (reason === undefined) return
+    recorder.decided('stop', reason)
+    exchange.giveUp(reason)
   }
 
-  /** Lets the endpoint wait while the caller reads too slowly. */
+  /** Pauses reading from the endpoint while the caller reads too slowly. */
   holdUntilDrained (): void {
     const { exchange } = this
     exchange?.pause()
     this.answer.onceDrained(() => exchange?.resume())
   }
 
-  /** Notes whole events that were passed on. */
+  /** Records that complete events were forwarded to the caller. */
   noteEvents (lastId: string | undefined): void {
     this.recorder.passedEvents()
-    this.noteBegun(this.recorder.latestEventAt)
+    this.recordUsage(this.recorder.latestEventAt)
     if (lastId !== undefined) this.lastEventId = lastId
   }
 
-  /** Counts the request once, however often it is sent. A stream begins to run with its first event, a call when it is sent. */
-  private noteBegun (at: number): void {
+  /**
+   * Counts the request once for the usage of its organisation, even if it is sent several times. A stream counts from its first
+   * event, any other request from the start of its attempt.
+   */
+  private recordUsage (at: number): void {
     const { organisation } = this.call
-    if (this.hasBegunToRun || organisation === undefined) return
-    this.hasBegunToRun = true
+    if (this.hasRecordedUsage || organisation === undefined) return
+    this.hasRecordedUsage = true
     this.services.usage.noteBegun(organisation.name, at)
   }
 
-  /** Notes that the caller's answer is whole. */
+  /** Records that the response to the caller is complete. */
   noteAnswered (): void {
     this.isOver = true
     this.recorder.answered()
@@ -294,28 +299,29 @@
     return { call: this.call, answer: this.answer, services: this.services }
   }
 
-  private callerLeft (): void {
+  /** Ends the request of a caller that has disconnected. */
+  private cancel (): void {
     if (this.isOver) return
     this.isOver = true
     this.exchange?.cancel()
-    this.recorder.ended('cancel', 'left', 'the caller left')
+    this.recorder.ended('cancel', 'left', 'the caller disconnected')
   }
 
   private deadlinePassed (): void {
     if (this.isOver) return
     const wasSent = this.history.mayHaveRun || this.exchange?.isSent === true
     this.exchange?.cancel()
-    if (wasSent) this.fail(504, 'ERR_GULLWALL_DEADLINE', 'the time of the request has passed')
-    else this.refuse('the time of the request has passed before it was sent')
+    if (wasSent) this.fail(504, 'ERR_GULLWALL_DEADLINE', 'the request timed out')
+    else this.refuse('the request timed out before it was sent')
   }
 
-  /** Refuses a request that has not run; says so where it is certain. */
-  private refuse (why: string, afterMs = 0): void {
-    const restMs = restMsOfAll(this.services, this.call)
-    const returnMs = restMs > 0 ? returnAfterMs(restMs, this.call.tier) : RETRY_AFTER_MS
-    const retryAfterMs = Math.round(Math.max(returnMs, afterMs))
-    if (this.history.mayHaveRun) this.fail(502, 'ERR_GULLWALL_BROKEN', why)
-    else this.end({ status: 503, code: 'ERR_GULLWALL_REFUSED', message: why, ran: 'no', retryAfterMs }, 'refuse')
+  /** Refuses the request with "not run" if that is certain; a request that may have run fails instead. */
+  private refuse (reason: string, minRetryAfterMs = 0): void {
+    const availabilityDelayMs = restMsOfAll(this.services, this.call)
+    const defaultRetryAfterMs = availabilityDelayMs > 0 ? returnAfterMs(availabilityDelayMs, this.call.tier) : MIN_RETRY_AFTER_MS
+    const retryAfterMs = Math.round(Math.max(defaultRetryAfterMs, minRetryAfterMs))
+    if (this.history.mayHaveRun) this.fail(502, 'ERR_GULLWALL_BROKEN', reason)
+    else this.end({ status: 503, code: 'ERR_GULLWALL_REFUSED', message: reason, ran: 'no', retryAfterMs }, 'refuse')
   }
 
   private fail (status: number, code: string, why: string): void {
--- a/entry/gateway/src/grant-asker.ts
+++ b/entry/gateway/src/grant-asker.ts
@@ -1,7 +1,7 @@
 /**
- * Asks control for grants in the background, so that a choice never waits for one: one ask at a time, for as many requests as
- * this box has had lately, at few endpoints that it prefers to others. Boxes prefer different ones, so that they do not
- * contend for the same.
+ * Requests grants from control in the background, so that no choice waits for a grant. One message is in flight at a time; it asks for
+ * as many grants as the recent traffic of this box needs. Boxes rank the endpoints differently, so that they do not contend for the
+ * same ones.
  */
 import { messageOf } from '@gullwall/core.error'
 import { type Logger } from '@gullwall/core.logger'
@@ -9,28 +9,28 @@
 import { type Grant, type GrantWish } from '@gullwall/transport.messages'
 import { type GrantPurse } from './grant-purse.ts'
 
-/** Grants are wished for the requests of this time, in ms: for so long a grant is usable. */
-const USE_MS = 500
-/** Two asks of a box are begun at least this time apart, in ms. */
-const SPACING_MS = 50
-/** So many asks a second are begun by all boxes together, at most: one process answers them. */
-const ASKS_PER_SECOND = 2000
-/** The same after an ask that was not answered, in ms: nobody may lead for a second or so. */
+/** Validity of a grant, and the window in which arrivals are counted to estimate the demand, in ms. */
+const WINDOW_MS = 500
+/** Minimum time between two messages of a box, in ms. */
+const MIN_SPACING_MS = 50
+/** Maximum number of messages a second from all boxes together, since a single process handles them. */
+const MAX_MESSAGES_PER_SECOND = 2000
+/** Time until the next message after one without a response, in ms: an election of a new leader takes about a second. */
 const FAILED_SPACING_MS = 400
-/** After which it is seen again whether there is something to ask for, in ms: all endpoints are looked at for that. */
-const NOTHING_SPACING_MS = 25
-/** Requests beyond those of late, since they do not come evenly. */
+/** Time until the next check after one that found nothing to request, in ms; each check visits all endpoints. */
+const IDLE_SPACING_MS = 25
+/** Grants that are requested in addition to the recent demand, since arrivals are uneven. */
 const HEADROOM = 1
-/** With this share of the grants that it needs a box does not ask for more yet; so busy boxes ask for many at once. */
-const ENOUGH_SHARE = 0.5
-/** The most requests of one wish; control grants no more at once. */
-const MAX_WISH = 5
-/** One ask names so many endpoints at most; the next one names others. */
-const MAX_WISHES = 32
-
-/** The time between two asks of one of so many boxes, in ms, so that all of them together do not ask more than is answered. */
+/** Share of the demand from which the available grants suffice; below it a box requests all that it lacks in one message. */
+const SUFFICIENT_SHARE = 0.5
+/** Maximum number of requests for one endpoint in a message; control grants no more at once. */
+const MAX_REQUESTS = 5
+/** Maximum number of endpoints in a message. */
+const MAX_ENDPOINTS = 32
+
+/** Returns the time between two messages of one box, in ms, so that all boxes together do not exceed the rate that control handles. */
 export function askSpacingMs (boxes: number): number {
-  return 1000 * boxes / ASKS_PER_SECOND
+  return 1000 * boxes / MAX_MESSAGES_PER_SECOND
 }
 
 export interface GrantAskerOptions {
@@ -40,38 +40,38 @@
   wake: () => void
   now: () => number
   purse: GrantPurse
-  /** How many boxes ask. */
+  /** Number of boxes that request grants. */
   entries: () => number
-  /** The limit that an endpoint has named, in requests a second; undefined where it takes any number. */
+  /** The limit that an endpoint advertises, in requests a second; undefined if it has none. */
   namedLimitOf?: ((incarnation: string) => number | undefined) | undefined
 }
 
-/** An endpoint that a request could have had with a grant. */
-interface Wished {
+/** An endpoint that needs a grant. */
+interface WantedEndpoint {
   incarnation: string
   service: string
-  /** The lower, the rather this box asks for it. */
+  /** Preference of this box; lower ranks are requested first. */
   rank: number
-  /** It is not asked for again before, by what control has answered. */
+  /** Earliest time of the next request for a grant, as control has asked for. */
   notBefore: number
-  /** When a request could last have had it. */
-  wishedAt: number
+  /** When a request last needed a grant for this endpoint. */
+  wantedAt: number
 }
 
 export class GrantAsker {
-  /** Asks since the start, and those of them that nobody answered. */
+  /** Messages since the start, and those without a response. */
   readonly totals = { asks: 0, failed: 0 }
-  private readonly wished = new Map<string, Wished>()
+  private readonly wanted = new Map<string, WantedEndpoint>()
   private readonly arrivals = new Map<string, number[]>()
-  /** The requests of each service that were counted. */
+  /** Requests that were counted, by service. */
   private readonly counted = new Map<string, WeakSet<object>>()
-  private isAsking = false
+  private isRequesting = false
   private timer: NodeJS.Timeout | undefined
-  private nextAskAt = -Infinity
+  private nextRequestAt = -Infinity
 
   constructor (private readonly options: GrantAskerOptions) {}
 
-  /** Counts a request of a service, once, however often it looks for an endpoint. */
+  /** Counts a request of a service once, even if an endpoint is chosen for it several times. */
   noteRequest (service: string, call: object): void {
     const counted = this.counted.get(service) ?? new WeakSet()
     this.counted.set(service, counted)
@@ -81,107 +81,108 @@
     this.arrivals.set(service, [...this.recent(service, now), now])
   }
 
-  /** Notes that a request could have an endpoint with a grant, and asks for it as soon as it may. */
-  wish ({ incarnation, service }: Pick<Wished, 'incarnation' | 'service'>): void {
+  /** Records that a request needs a grant for an endpoint, and sends a message to control as soon as the spacing allows. */
+  wish ({ incarnation, service }: Pick<WantedEndpoint, 'incarnation' | 'service'>): void {
     const now = this.options.now()
-    const known = this.wished.get(incarnation)
-    if (known !== undefined) known.wishedAt = now
-    else this.wished.set(incarnation, { incarnation, service, rank: rankOf(`${this.options.box} ${incarnation}`), notBefore: -Infinity, wishedAt: now })
-    if (!this.isAsking && now >= this.nextAskAt) void this.askSoon()
+    const known = this.wanted.get(incarnation)
+    if (known !== undefined) known.wantedAt = now
+    else this.wanted.set(incarnation, { incarnation, service, rank: rankOf(`${this.options.box} ${incarnation}`), notBefore: -Infinity, wantedAt: now })
+    if (!this.isRequesting && now >= this.nextRequestAt) void this.requestInMicrotask()
   }
 
   forget (incarnation: string): void {
-    this.wished.delete(incarnation)
+    this.wanted.delete(incarnation)
   }
 
-  /** Asks once the choice under way has looked at all endpoints. */
-  private async askSoon (): Promise<void> {
-    this.isAsking = true
+  /** Sends the message after the current choice has checked all endpoints. */
+  private async requestInMicrotask (): Promise<void> {
+    this.isRequesting = true
     await Promise.resolve()
-    const askedAt = this.options.now()
-    const wishes = this.wishes(askedAt)
-    if (wishes.length > 0) await this.askFor(wishes, askedAt)
-    else this.nextAskAt = askedAt + NOTHING_SPACING_MS
-    this.isAsking = false
-    this.wakeLater()
+    const requestedAt = this.options.now()
+    const wishes = this.grantRequests(requestedAt)
+    if (wishes.length > 0) await this.send(wishes, requestedAt)
+    else this.nextRequestAt = requestedAt + IDLE_SPACING_MS
+    this.isRequesting = false
+    this.scheduleWake()
   }
 
-  /** Requests that wait look again, and so wish again, once they may ask: there may be no other arrival until then. */
-  private wakeLater (): void {
+  /** Wakes the waiting requests when grants may be requested again, since no new request may arrive by then. */
+  private scheduleWake (): void {
     const { now, wake } = this.options
     clearTimeout(this.timer)
-    if (this.wished.size === 0) return
-    const nextFree = Math.min(...[...this.wished.values()].map(({ notBefore }) => notBefore))
-    this.timer = setTimeout(wake, Math.max(NOTHING_SPACING_MS, this.nextAskAt - now(), nextFree - now())).unref()
+    if (this.wanted.size === 0) return
+    const firstAllowedAt = Math.min(...[...this.wanted.values()].map(({ notBefore }) => notBefore))
+    this.timer = setTimeout(wake, Math.max(IDLE_SPACING_MS, this.nextRequestAt - now(), firstAllowedAt - now())).unref()
   }
 
   stop (): void {
     clearTimeout(this.timer)
   }
 
-  private async askFor (wishes: GrantWish[], askedAt: number): Promise<void> {
+  private async send (wishes: GrantWish[], requestedAt: number): Promise<void> {
     const { ask, wake, logger, now, entries } = this.options
     this.totals.asks += 1
-    this.nextAskAt = askedAt + Math.max(SPACING_MS, askSpacingMs(entries()))
+    this.nextRequestAt = requestedAt + Math.max(MIN_SPACING_MS, askSpacingMs(entries()))
     try {
-      for (const grant of await ask(wishes)) this.note(grant, askedAt)
+      for (const grant of await ask(wishes)) this.recordGrant(grant, requestedAt)
       wake()
     } catch (error) {
       this.totals.failed += 1
-      this.nextAskAt = now() + FAILED_SPACING_MS
+      this.nextRequestAt = now() + FAILED_SPACING_MS
       logger.sampled('not-granted', { channel: 'endpoint', event: 'not-granted', endpoint: wishes[0]?.incarnation ?? '', why: messageOf(error) })
     }
   }
 
-  /** The time of a grant and of a refusal runs from the ask: control can't know for how long the answer was under way. */
-  private note ({ incarnation, requests, withinMs, perSecond }: Grant, askedAt: number): void {
+  /** Records a grant or a refusal. Its time counts from the request, since control does not know how long the response is in transit. */
+  private recordGrant ({ incarnation, requests, withinMs, perSecond }: Grant, requestedAt: number): void {
     const now = this.options.now()
-    const until = askedAt + withinMs
-    // Control that does not know of limits grants without regard to them.
+    const until = requestedAt + withinMs
+    // A grant without `perSecond` comes from a control process that does not support limits, and is not valid for a limited endpoint.
     const isUsable = requests > 0 && (perSecond !== undefined || this.options.namedLimitOf?.(incarnation) === undefined)
     if (isUsable) this.options.purse.add(incarnation, { requests, until }, now)
-    const wished = this.wished.get(incarnation)
-    if (wished !== undefined && !isUsable) wished.notBefore = until
+    const wanted = this.wanted.get(incarnation)
+    if (wanted !== undefined && !isUsable) wanted.notBefore = until
   }
 
-  /** What to ask for: as much as the requests of late need beyond what is at hand, at the endpoints that this box prefers. */
-  private wishes (now: number): GrantWish[] {
+  /** Returns the grants to request: the recent demand minus the available grants, at the endpoints that this box prefers. */
+  private grantRequests (now: number): GrantWish[] {
     const wishes: GrantWish[] = []
     const missing = this.missing(now)
-    for (const wished of this.askable(now)) {
-      const requests = Math.min(MAX_WISH, missing.get(wished.service) ?? 0)
+    for (const wanted of this.requestable(now)) {
+      const requests = Math.min(MAX_REQUESTS, missing.get(wanted.service) ?? 0)
       if (requests <= 0) continue
-      if (wishes.length === MAX_WISHES) break
-      missing.set(wished.service, (missing.get(wished.service) ?? 0) - requests)
-      const perSecond = this.options.namedLimitOf?.(wished.incarnation)
-      wishes.push({ incarnation: wished.incarnation, service: wished.service, requests, ...(perSecond === undefined ? {} : { perSecond }) })
+      if (wishes.length === MAX_ENDPOINTS) break
+      missing.set(wanted.service, (missing.get(wanted.service) ?? 0) - requests)
+      const perSecond = this.options.namedLimitOf?.(wanted.incarnation)
+      wishes.push({ incarnation: wanted.incarnation, service: wanted.service, requests, ...(perSecond === undefined ? {} : { perSecond }) })
     }
     return wishes
   }
 
-  /** How many grants each service lacks; none where half of what it needs is at hand. */
+  /** Returns how many grants each service lacks; 0 for a service whose available grants suffice. */
   private missing (now: number): Map<string, number> {
-    const atHand = new Map<string, number>()
-    for (const { service, incarnation } of this.wished.values()) {
-      atHand.set(service, (atHand.get(service) ?? 0) + this.options.purse.left(incarnation, now))
+    const available = new Map<string, number>()
+    for (const { service, incarnation } of this.wanted.values()) {
+      available.set(service, (available.get(service) ?? 0) + this.options.purse.left(incarnation, now))
     }
-    return new Map([...atHand].map(([service, left]) => {
+    return new Map([...available].map(([service, count]) => {
       const needed = this.recent(service, now).length + HEADROOM
-      return [service, left <= ENOUGH_SHARE * needed ? needed - left : 0]
+      return [service, count <= SUFFICIENT_SHARE * needed ? needed - count : 0]
     }))
   }
 
-  /** The endpoints that may be asked for now, those that this box prefers first. */
-  private askable (now: number): Wished[] {
-    for (const [incarnation, { wishedAt }] of this.wished) {
-      if (now - wishedAt > USE_MS && this.options.purse.left(incarnation, now) === 0) this.wished.delete(incarnation)
+  /** Returns the endpoints for which a grant may be requested now, by rank. Removes those that no request has needed recently. */
+  private requestable (now: number): WantedEndpoint[] {
+    for (const [incarnation, { wantedAt }] of this.wanted) {
+      if (now - wantedAt > WINDOW_MS && this.options.purse.left(incarnation, now) === 0) this.wanted.delete(incarnation)
     }
-    return [...this.wished.values()]
+    return [...this.wanted.values()]
       .filter(({ notBefore, incarnation }) => now >= notBefore && this.options.purse.left(incarnation, now) === 0)
       .sort((left, right) => left.rank - right.rank)
   }
 
+  /** Returns the times of the recent requests of a service. */
   private recent (service: string, now: number): number[] {
-    return (this.arrivals.get(service) ?? []).filter((at) => now - at <= USE_MS)
+    return (this.arrivals.get(service) ?? []).filter((at) => now - at <= WINDOW_MS)
   }
 }
--- a/entry/gateway/src/grant-purse.ts
+++ b/entry/gateway/src/grant-purse.ts
@@ -1,6 +1,6 @@
 /**
- * The grants that this box holds: how many requests it may send to which endpoint that is cold or limited, and until when. Time is
- * an argument; what the box has slept since a grant counts against it.
+ * The grants of this box: how many requests it may send to each cold or limited endpoint, and until when. The current time is passed
+ * as an argument. Time for which the box was suspended counts against the validity of a grant.
  */
 import { suspensions } from '@gullwall/core.clock'
 
@@ -9,42 +9,42 @@
   until: number
 }
 
-/** A grant as it is held here. */
+/** A grant that was received, with the state that its validity depends on. */
 export interface HeldGrant extends NewGrant {
-  /** For how long the box had been suspended when the grant was noted, in ms. */
+  /** Total time for which the box had been suspended when the grant was added, in ms. */
   sleptMs: number
 }
 
 export class GrantPurse {
   private readonly grants = new Map<string, HeldGrant[]>()
 
-  /** @param slept tells for how long this box has been suspended so far, in ms */
+  /** @param slept returns the total time for which this box has been suspended, in ms */
   constructor (private readonly slept: () => number = () => suspensions.slept()) {}
 
-  /** Notes a grant; one that is over already is dropped. */
+  /** Adds a grant; one that is empty or has expired is ignored. */
   add (incarnation: string, grant: NewGrant, now: number): void {
     if (grant.requests <= 0 || grant.until <= now) return
-    this.grants.set(incarnation, [...this.live(incarnation, now), { ...grant, sleptMs: this.slept() }])
+    this.grants.set(incarnation, [...this.active(incarnation, now), { ...grant, sleptMs: this.slept() }])
   }
 
-  /** How many requests may be sent to an endpoint now. */
+  /** Returns how many requests may be sent to an endpoint now. */
   left (incarnation: string, now: number): number {
-    return this.live(incarnation, now).reduce((sum, { requests }) => sum + requests, 0)
+    return this.active(incarnation, now).reduce((sum, { requests }) => sum + requests, 0)
   }
 
-  /** Uses the grant that ends first for one request; false where there is none. What is used never comes back. */
+  /** Uses a grant for one request, as `takeGrant` does; returns whether one was available. */
   take (incarnation: string, now: number): boolean {
     return this.takeGrant(incarnation, now) !== undefined
   }
 
-  /** The same, and gives the grant. */
+  /** Uses the grant that expires first for one request; undefined if none is available. A used grant is never returned to the pool. */
   takeGrant (incarnation: string, now: number): HeldGrant | undefined {
-    const [first] = this.live(incarnation, now).sort((left, right) => left.until - right.until)
+    const [first] = this.active(incarnation, now).sort((left, right) => left.until - right.until)
     if (first !== undefined) first.requests -= 1
     return first
   }
 
-  /** Whether the time in which a grant is used has passed. */
+  /** Whether the validity of a grant has ended. */
   isOver ({ until, sleptMs }: HeldGrant, now: number): boolean {
     return now + this.slept() - sleptMs >= until
   }
@@ -53,12 +53,13 @@
     this.grants.delete(incarnation)
   }
 
-  private live (incarnation: string, now: number): HeldGrant[] {
-    const held = this.grants.get(incarnation)
-    if (held === undefined) return []
-    const live = held.filter((grant) => grant.requests > 0 && !this.isOver(grant, now))
-    if (live.length > 0) this.grants.set(incarnation, live)
+  /** Returns the grants of an endpoint that are still valid and not used up, and removes the others. */
+  private active (incarnation: string, now: number): HeldGrant[] {
+    const all = this.grants.get(incarnation)
+    if (all === undefined) return []
+    const active = all.filter((grant) => grant.requests > 0 && !this.isOver(grant, now))
+    if (active.length > 0) this.grants.set(incarnation, active)
     else this.grants.delete(incarnation)
-    return live
+    return active
   }
 }
--- a/entry/gateway/src/ingress.ts
+++ b/entry/gateway/src/ingress.ts
@@ -1,4 +1,4 @@
-/** The server for callers: reads requests, answers what needs no endpoint, and stops without cutting anything off. */
+/** The HTTP server for callers: reads requests, handles those that need no endpoint, and stops without interrupting any. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { messageOf } from '@gullwall/core.error'
 import { isOpenedEarly, listenOn } from '@gullwall/transport.http-server'
@@ -8,28 +8,29 @@
 import { type GatewayServices } from './index.ts'
 import { heldUntil, START_UP_MS } from './start-up.ts'
 
-/** Header bytes beyond the document's limit, for what the limit is not meant for, such as the request line. */
+/** Header bytes in addition to the document's limit, for parts that the limit does not cover, such as the request line. */
 const HEADER_MARGIN_BYTES = 16_384
 const DEFAULT_HEADER_BYTES = 16_384
-/** The longest body that is read before a document says how long one may be. */
-const MAX_BODY_BYTES = 4 * 1024 * 1024
-const CHECK_MS = 1000
-/** When a caller is asked to come back to a process that is not ready, in ms: another one may be ready by then. */
+/** Maximum length of a body before a routing document sets a limit. */
+const DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024
+const CONNECTION_CHECK_INTERVAL_MS = 1000
+/** Retry delay for callers of a process that is not ready, in ms: another process may be ready by then. */
 const NOT_READY_RETRY_MS = 300
-/** After a stop was asked for, new connections still come for so long, until the balancer has seen it, in ms. */
-const TAKE_ON_MS = 2500
-/** What is kept of the time for a stop, to end in good order, in ms. */
+/** Time after the start of a stop in which new connections are still accepted, until the balancer has noticed the stop, in ms. */
+const ACCEPT_WHILE_STOPPING_MS = 2500
+/** Part of the grace period that is reserved for closing the remaining services, in ms. */
 const STOP_RESERVE_MS = 1200
-const POLL_MS = 25
-/** Another process takes the request at once; a new connection has to be made. In ms. */
-const ELSEWHERE_MS = 20
+const POLL_INTERVAL_MS = 25
+/** Retry delay for callers of a process that is stopping, in ms: another process accepts the request at once, over a new connection. */
+const STOPPING_RETRY_MS = 20
 
 export class Ingress {
   address = ''
   isStopping = false
-  /** Once the balancer knows of a stop, what still comes on kept connections is told to go elsewhere. */
-  private takesNothing = false
+  /** Whether all requests are refused: the balancer has noticed the stop, but requests still arrive on idle connections. */
+  private isRefusingAll = false
   private server: Server | undefined
+  /** Settles when the server listens at an address that was opened early. */
   private takeOver: Promise<void> | undefined
   private inFlight = 0
 
@@ -38,7 +39,10 @@
   async start (): Promise<void> {
     const { settings, store } = this.services
     this.server = createServer({
-      maxHeaderSize: DEFAULT_HEADER_BYTES + HEADER_MARGIN_BYTES, requestTimeout: 0, connectionsCheckingInterval: CHECK_MS, keepAlive: false
+      maxHeaderSize: DEFAULT_HEADER_BYTES + HEADER_MARGIN_BYTES,
+      requestTimeout: 0,
+      connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS,
+      keepAlive: false
     }, (request, response) => { void this.serve(request, response) })
     this.applyLimits()
     store.onChange(() => this.applyLimits())
@@ -53,34 +57,35 @@
   }
 
   /**
-   * Takes over an address that was opened before the program was loaded, once requests can be served. Read earlier, they
-   * would only wait here, and reading them would take the processor from what they wait for.
+   * Takes over an address that was opened before the program was loaded, once requests can be served. Accepting requests earlier
+   * would only use processor time that the start itself needs.
    */
   private async takeOverOnceReady (server: Server): Promise<void> {
     const { settings, startedAt } = this.services
-    await this.readyWithin(startedAt + START_UP_MS)
-    // Where this fails the process ends with the reason: it would say that it takes requests, and serve none.
+    await this.waitUntilReady(startedAt + START_UP_MS)
+    // A failure here ends the process, which would otherwise report readiness without serving requests.
     await listenOn(server, settings.listen)
   }
 
-  /** Stops taking work in the order in which callers notice: readiness, new connections, kept ones, requests in flight. */
+  /** Stops in the order in which callers notice: readiness, new connections, idle connections, requests in flight. */
   async stop (): Promise<void> {
     const { settings } = this.services
     const startedAt = performance.now()
     const endsAt = startedAt + settings.graceMs - STOP_RESERVE_MS
     this.isStopping = true
-    // What fails here has been told as the process's end.
+    // A failure has already been reported as the reason why the process ends.
     await this.takeOver?.catch(() => {})
-    await this.until(() => false, Math.min(startedAt + TAKE_ON_MS, endsAt))
-    this.takesNothing = true
+    await this.until(() => false, Math.min(startedAt + ACCEPT_WHILE_STOPPING_MS, endsAt))
+    this.isRefusingAll = true
     this.server?.close()
     this.server?.closeIdleConnections()
     await this.until(() => this.inFlight === 0, endsAt)
     this.server?.closeAllConnections()
   }
 
-  private async until (holds: () => boolean, endsAt: number): Promise<void> {
-    while (!holds() && performance.now() < endsAt) await new Promise((resolve) => setTimeout(resolve, POLL_MS))
+  /** Waits until a condition holds, at most until `endsAt` by the monotonic clock. */
+  private async until (condition: () => boolean, endsAt: number): Promise<void> {
+    while (!condition() && performance.now() < endsAt) await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS))
   }
 
   private applyLimits (): void {
@@ -103,21 +108,23 @@
       answer.error({ status: 500, code: 'ERR_GULLWALL_UNEXPECTED', message: 'unexpected error', ran: 'unknown' })
     } finally {
       this.inFlight -= 1
-      // An answer that began before the stop did not ask for its connection to be closed.
-      if (this.takesNothing) response.once('close', () => setImmediate(() => this.server?.closeIdleConnections()))
+      // A response that began before the stop has no `connection: close` header.
+      if (this.isRefusingAll) response.once('close', () => setImmediate(() => this.server?.closeIdleConnections()))
     }
   }
 
   private async serveWith (request: IncomingMessage, answer: CallerAnswer, requestId: string, arrivedAt: number): Promise<void> {
     const { view, dialect, controlLinks } = this.services
-    const body = await readBody(request, view.table?.document.limits.maxBodyBytes ?? MAX_BODY_BYTES)
+    const body = await readBody(request, view.table?.document.limits.maxBodyBytes ?? DEFAULT_MAX_BODY_BYTES)
     if (body === 'left') return
-    if (this.takesNothing) {
-      const error: ErrorAnswer = { status: 503, code: 'ERR_GULLWALL_STOPPING', message: 'this process stops', ran: 'no', retryAfterMs: ELSEWHERE_MS }
+    if (this.isRefusingAll) {
+      const error: ErrorAnswer = {
+        status: 503, code: 'ERR_GULLWALL_STOPPING', message: 'this process is stopping', ran: 'no', retryAfterMs: STOPPING_RETRY_MS
+      }
       this.refuse(answer, requestId, error)
       return
     }
-    await this.readyWithin(heldUntil(arrivedAt, this.services.startedAt))
+    await this.waitUntilReady(heldUntil(arrivedAt, this.services.startedAt))
     const table = view.table
     const notReady = controlLinks.notReady()
     if (table === undefined || notReady !== undefined) {
@@ -137,9 +144,10 @@
     await new Forwarding(this.services, call, answer).run()
   }
 
-  private async readyWithin (endsAt: number): Promise<void> {
+  /** Waits until this process is ready, at most until `endsAt` by the monotonic clock. */
+  private async waitUntilReady (endsAt: number): Promise<void> {
     const { controlLinks, view } = this.services
-    while (controlLinks.notReady() !== undefined && performance.now() < endsAt) await view.changeWithin(POLL_MS)
+    while (controlLinks.notReady() !== undefined && performance.now() < endsAt) await view.changeWithin(POLL_INTERVAL_MS)
   }
 
   private refuse (answer: CallerAnswer, requestId: string, error: ErrorAnswer): void {
@@ -166,7 +174,7 @@
   return 'status' in value
 }
 
-/** Reads the whole body; undefined where there is none. */
+/** Reads the complete body; undefined if the request has none, 'left' if the caller disconnected. */
 async function readBody (request: IncomingMessage, maxBytes: number): Promise<Buffer | undefined | 'too large' | 'left'> {
   const chunks: Buffer[] = []
   let bytes = 0
--- a/entry/gateway/src/on-demand-asker.ts
+++ b/entry/gateway/src/on-demand-asker.ts
@@ -1,6 +1,6 @@
 /**
- * Asks control for leave to send single requests, which wait for the answer: an endpoint that takes few requests from all boxes
- * has none to spare for a box that might have a use for them later. One ask at a time, for all that wait by then.
+ * Requests grants from control for single requests, which wait for the response. An endpoint with a low limit has no grants to spare
+ * for boxes that request them in advance. One message is in flight at a time; it covers all requests that wait when it is sent.
  */
 import { messageOf } from '@gullwall/core.error'
 import { type Logger } from '@gullwall/core.logger'
@@ -8,43 +8,45 @@
 import { askSpacingMs } from './grant-asker.ts'
 import { type GrantPurse } from './grant-purse.ts'
 
-/** A request waits for an answer of control for so long, in ms; then it goes elsewhere. */
-const PATIENCE_MS = 100
-/** After an ask that was not answered nothing is asked for so long, in ms: nobody may lead for a second or so. */
+/** Time for which a request waits for the response of control, in ms; then another endpoint is chosen. */
+const RESPONSE_TIMEOUT_MS = 100
+/** Time until the next message after one without a response, in ms: an election of a new leader takes about a second. */
 const FAILED_SPACING_MS = 400
-/** One ask names so many endpoints at most. */
-const MAX_WISHES = 32
-/** Many boxes together ask more than control is to answer rather than let requests wait longer between two asks, in ms. */
+/** Maximum number of endpoints in a message. */
+const MAX_ENDPOINTS = 32
+/** Maximum time between two messages, in ms. It bounds the wait of requests, even if many boxes then exceed the rate of control. */
 const MAX_SPACING_MS = 50
 
 export interface OnDemandAskerOptions {
   logger: Logger
   ask: (wishes: GrantWish[]) => Promise<Grant[]>
-  /** Has requests that wait for an endpoint look again. */
+  /** Wakes the requests that wait for an endpoint. */
   wake: () => void
   now: () => number
   purse: GrantPurse
-  /** How many boxes ask. */
+  /** Number of boxes that request grants. */
   entries: () => number
 }
 
-/** What is asked for, but how many. */
+/** A grant request without the number of requests. */
 export type Wanted = Omit<GrantWish, 'requests'>
 
+/** The requests that wait for a grant of one endpoint. */
 interface Pending {
   wanted: Wanted
   waiters: Array<() => void>
 }
 
 export class OnDemandAsker {
-  /** Since the start: asks, those that nobody answered, wishes that were granted and refused. */
+  /** Counts since the start: messages, those without a response, requests that were granted, and endpoints that were refused. */
   readonly totals = { asks: 0, failed: 0, granted: 0, refused: 0 }
   private pending = new Map<string, Pending>()
-  /** Endpoints that were refused, and until when they are not asked for again. */
+  /** Earliest time of the next grant request, by incarnation that control has refused. */
   private readonly notBefore = new Map<string, number>()
-  private closedUntil = -Infinity
-  private nextAskAt = -Infinity
-  private isAsking = false
+  /** Until when no grants are requested, after a message without a response. */
+  private suspendedUntil = -Infinity
+  private nextRequestAt = -Infinity
+  private isRequesting = false
   private wakeTimer: NodeJS.Timeout | undefined
 
   constructor (private readonly options: OnDemandAskerOptions) {}
@@ -57,66 +59,66 @@
     this.notBefore.delete(incarnation)
   }
 
-  /** In which time an endpoint may be asked for, in ms; 0 where it may be now. */
+  /** Returns the time until a grant for an endpoint may be requested, in ms; 0 if it may be now. */
   waitMs (incarnation: string): number {
     const now = this.options.now()
-    return Math.max(0, this.closedUntil - now, (this.notBefore.get(incarnation) ?? -Infinity) - now)
+    return Math.max(0, this.suspendedUntil - now, (this.notBefore.get(incarnation) ?? -Infinity) - now)
   }
 
-  /** Asks for one request, and resolves once control has answered or the request should not wait any longer. */
+  /** Requests a grant for one request; resolves when control has responded or the wait has timed out. */
   async ask (wanted: Wanted): Promise<void> {
     if (this.waitMs(wanted.incarnation) > 0) return
     await new Promise<void>((resolve) => {
-      const timer = setTimeout(resolve, PATIENCE_MS)
+      const timer = setTimeout(resolve, RESPONSE_TIMEOUT_MS)
       const pending = this.pending.get(wanted.incarnation) ?? { wanted, waiters: [] }
       pending.waiters.push(() => {
         clearTimeout(timer)
         resolve()
       })
       this.pending.set(wanted.incarnation, pending)
-      if (!this.isAsking) void this.askAll()
+      if (!this.isRequesting) void this.sendAll()
     })
   }
 
-  /** Asks for as long as requests wait. */
-  private async askAll (): Promise<void> {
-    this.isAsking = true
-    // All that begin to wait in the same turn are asked for together.
+  /** Sends messages until no request waits. */
+  private async sendAll (): Promise<void> {
+    this.isRequesting = true
+    // One message covers all requests that begin to wait in the same turn.
     await Promise.resolve()
     while (this.pending.size > 0) {
-      const restMs = this.nextAskAt - this.options.now()
-      if (restMs > 0) await new Promise((resolve) => { setTimeout(resolve, restMs) })
-      await this.askOnce()
+      const delayMs = this.nextRequestAt - this.options.now()
+      if (delayMs > 0) await new Promise((resolve) => { setTimeout(resolve, delayMs) })
+      await this.sendOne()
     }
-    this.isAsking = false
+    this.isRequesting = false
   }
 
-  private async askOnce (): Promise<void> {
+  private async sendOne (): Promise<void> {
     const { ask, now, entries, logger } = this.options
-    const asked = [...this.pending.values()].slice(0, MAX_WISHES)
-    for (const { wanted } of asked) this.pending.delete(wanted.incarnation)
-    const askedAt = now()
+    const batch = [...this.pending.values()].slice(0, MAX_ENDPOINTS)
+    for (const { wanted } of batch) this.pending.delete(wanted.incarnation)
+    const requestedAt = now()
     this.totals.asks += 1
-    this.nextAskAt = askedAt + Math.min(MAX_SPACING_MS, askSpacingMs(entries()))
+    this.nextRequestAt = requestedAt + Math.min(MAX_SPACING_MS, askSpacingMs(entries()))
     try {
-      const grants = await ask(asked.map(({ wanted, waiters }) => ({ ...wanted, requests: waiters.length })))
-      for (const grant of grants) this.note(grant, askedAt)
+      const grants = await ask(batch.map(({ wanted, waiters }) => ({ ...wanted, requests: waiters.length })))
+      for (const grant of grants) this.recordGrant(grant, requestedAt)
     } catch (error) {
       this.totals.failed += 1
-      this.closedUntil = now() + FAILED_SPACING_MS
+      this.suspendedUntil = now() + FAILED_SPACING_MS
       logger.sampled('not-granted', {
-        channel: 'endpoint', event: 'not-granted', endpoint: asked[0]?.wanted.incarnation ?? '', why: messageOf(error)
+        channel: 'endpoint', event: 'not-granted', endpoint: batch[0]?.wanted.incarnation ?? '', why: messageOf(error)
       })
     }
-    for (const { waiters } of asked) for (const done of waiters) done()
-    this.wakeLater()
+    for (const { waiters } of batch) for (const resolveWaiter of waiters) resolveWaiter()
+    this.scheduleWake()
   }
 
-  /** The time of a grant and of a refusal runs from the ask: control can't know for how long the answer was under way. */
-  private note ({ incarnation, requests, withinMs, perSecond }: Grant, askedAt: number): void {
+  /** Records a grant or a refusal. Its time counts from the request, since control does not know how long the response is in transit. */
+  private recordGrant ({ incarnation, requests, withinMs, perSecond }: Grant, requestedAt: number): void {
     const { purse, now } = this.options
-    const until = askedAt + withinMs
-    // Control that does not know of limits grants without regard to them.
+    const until = requestedAt + withinMs
+    // A grant without `perSecond` comes from a control process that does not support limits, and is not valid for a limited endpoint.
     if (requests > 0 && perSecond !== undefined) {
       this.totals.granted += requests
       purse.add(incarnation, { requests, until }, now())
@@ -126,16 +128,16 @@
     }
   }
 
-  /** Requests that wait look again once an endpoint may be asked for: there may be no other arrival until then. */
-  private wakeLater (): void {
+  /** Wakes the waiting requests when a grant may be requested again, since no new request may arrive by then. */
+  private scheduleWake (): void {
     const now = this.options.now()
     for (const [incarnation, at] of this.notBefore) if (at <= now) this.notBefore.delete(incarnation)
     clearTimeout(this.wakeTimer)
-    const soonest = Math.max(this.closedUntil, Math.min(...this.notBefore.values()))
-    if (!Number.isFinite(soonest) || soonest <= now) return
+    const firstAllowedAt = Math.max(this.suspendedUntil, Math.min(...this.notBefore.values()))
+    if (!Number.isFinite(firstAllowedAt) || firstAllowedAt <= now) return
     this.wakeTimer = setTimeout(() => {
       this.options.wake()
-      this.wakeLater()
-    }, soonest - now + 1).unref()
+      this.scheduleWake()
+    }, firstAllowedAt - now + 1).unref()
   }
 }
--- a/entry/gateway/src/patience.ts
+++ b/entry/gateway/src/patience.ts
@@ -1,48 +1,51 @@
-/** For how long a request waits for an endpoint, and when the caller of one that can't is asked to come back. */
+/** How long a request waits for an endpoint, and after which delay the caller of a refused request may retry. */
 import { type Call } from './call.ts'
 
-/** The share of its target that a request waits for an endpoint to be known, or to have room. */
-const PATIENCE_SHARE = 0.25
+/** Share of its target for which a request waits until an endpoint is known or has capacity. */
+const WAIT_SHARE_OF_TARGET = 0.25
 /**
- * A request that may have run, and so can't be refused, waits so long for an endpoint to come back from a rest, in ms: the users'
- * callers give a stream up after two seconds without an event at the soonest.
+ * Maximum time for which a request that may have run, and therefore can't be refused, waits for the end of a backoff, in ms. Callers
+ * abandon a stream after two seconds without an event at the earliest.
  */
 const MAX_RESUME_WAIT_MS = 2000
-/** Callers that are asked to wait for the end of a rest come back spread over this time after it, in ms. */
-const RETURN_SPREAD_MS = 1000
-/** The tiers that come back one after the other; lower ones come with the last. */
-const RETURN_TIERS = 4
-/** A request waits ahead of those of the next tier that came so much sooner, in ms. Others go first, so that no tier starves. */
+/** Time after the end of a backoff over which the retries of refused callers are spread, in ms. */
+const RETRY_SPREAD_MS = 1000
+/** Number of tiers that retry one after the other; tiers beyond this number retry with the last one. */
+const RETRY_TIERS = 4
+/** Lead of a waiting request over requests of the next lower tier, in ms. A finite lead ensures that no tier starves. */
 const TIER_HEAD_START_MS = 200
 
 export interface PatienceOptions {
   call: Pick<Call, 'arrivedAt' | 'deadline' | 'route'>
-  /** When it began to wait, for one that may have run and has endpoints that it has not tried; it can't be refused any more. */
+  /** When a request that may have run, and has untried endpoints, began to wait; undefined for a request that can still be refused. */
   resumedAt: number | undefined
-  /** For how long every endpoint that it might have wants nothing, in ms; 0 where one takes work. */
+  /** Time until the first endpoint accepts requests again, in ms; 0 if one accepts requests now. */
   restMs: number
   now: number
 }
 
-/** Gives until when a request waits, by the monotonic clock; what would not have an endpoint by then is given up at once. */
+/** Returns until when a request waits, by the monotonic clock; `now` if no endpoint will accept the request within its maximum wait. */
 export function waitsUntil ({ call, resumedAt, restMs, now }: PatienceOptions): number {
   const { arrivedAt, deadline, route } = call
-  const until = Math.min(deadline, (resumedAt ?? arrivedAt) + PATIENCE_SHARE * route.targetMs)
-  const restEnds = now + restMs
-  if (restMs <= 0 || restEnds <= until) return until
+  const waitDeadline = Math.min(deadline, (resumedAt ?? arrivedAt) + WAIT_SHARE_OF_TARGET * route.targetMs)
+  const availableAt = now + restMs
+  if (restMs <= 0 || availableAt <= waitDeadline) return waitDeadline
   if (resumedAt === undefined) return now
-  const longest = Math.min(deadline, resumedAt + MAX_RESUME_WAIT_MS)
-  // All of that time, since the endpoint comes back by slow start.
-  return restEnds <= longest ? longest : now
+  const resumeDeadline = Math.min(deadline, resumedAt + MAX_RESUME_WAIT_MS)
+  // Waits beyond `availableAt`, since slow start may delay the request further.
+  return availableAt <= resumeDeadline ? resumeDeadline : now
 }
 
-/** Gives after which time a caller is asked to come back where all endpoints rest, in ms: the more urgent first, and not all at once. */
-export function returnAfterMs (restMs: number, tier: number, random: () => number = Math.random): number {
-  const place = Math.min(tier, RETURN_TIERS - 1)
-  return restMs + RETURN_SPREAD_MS * (place + random()) / RETURN_TIERS
+/**
+ * Returns the retry delay for a refused caller, in ms. Callers retry after the endpoints accept requests again, spread over time with
+ * the more urgent tiers first.
+ */
+export function returnAfterMs (availabilityDelayMs: number, tier: number, random: () => number = Math.random): number {
+  const slot = Math.min(tier, RETRY_TIERS - 1)
+  return availabilityDelayMs + RETRY_SPREAD_MS * (slot + random()) / RETRY_TIERS
 }
 
-/** The order in which requests that wait look again; the lowest first. */
+/** Returns the rank by which waiting requests are woken; the lowest rank is first. */
 export function waitRank ({ arrivedAt, tier }: Pick<Call, 'arrivedAt' | 'tier'>): number {
   return arrivedAt + tier * TIER_HEAD_START_MS
 }
--- a/entry/gateway/src/quarantine.ts
+++ b/entry/gateway/src/quarantine.ts
@@ -1,4 +1,4 @@
-/** Keeps requests under which endpoints crash from being sent to further ones, and learns which these are. */
+/** Detects requests under which endpoints crash, reports them to control, and refuses the quarantined ones. */
 import { heldRequestsIn, whyHeld } from '@gullwall/control.state'
 import { type EndpointState } from '@gullwall/routing.balancer'
 import { CrashReporter, CrashWatch, type BrokenRequest } from '@gullwall/endpoint.crashes'
@@ -6,26 +6,27 @@
 import { type Call } from './call.ts'
 import { type GatewayServices } from './index.ts'
 
-/** When a caller is asked to come back with a request that is held, in ms: it is held for minutes, and each try costs both sides. */
+/** Retry delay for the caller of a quarantined request, in ms. A quarantine lasts for minutes, and each retry costs both sides. */
 export const HELD_RETRY_MS = 60_000
 
 export class Quarantine {
-  /** Requests that were refused since the start. */
+  /** Number of quarantined requests that were refused since the start. */
   refused = 0
   private readonly watch: CrashWatch
   private readonly reporter: CrashReporter
-  private held: ReadonlySet<string> = new Set()
+  /** Fingerprints of the quarantined requests. */
+  private quarantined: ReadonlySet<string> = new Set()
 
   constructor (private readonly services: Pick<GatewayServices, 'store' | 'view' | 'logger' | 'controlLinks'>) {
     const { store, view, logger, controlLinks } = services
-    this.reporter = new CrashReporter({ logger, tell: async (word) => await controlLinks.tellCrashes(word) })
+    this.reporter = new CrashReporter({ logger, tell: async (report) => await controlLinks.tellCrashes(report) })
     this.watch = new CrashWatch({
       stateOf: (incarnation) => view.leases.stateOf(incarnation),
       isReplaced: (incarnation) => view.leases.isReplaced(incarnation),
-      onCrash: (endpoint, requests) => this.crashed(endpoint, requests)
+      onCrash: (endpoint, requests) => this.recordCrash(endpoint, requests)
     })
-    this.recordsChanged()
-    store.onChange(() => this.recordsChanged())
+    this.updateQuarantined()
+    store.onChange(() => this.updateQuarantined())
   }
 
   start (): void {
@@ -37,56 +38,59 @@
     this.reporter.stop()
   }
 
-  /** How many requests are held, as this process knows. */
+  /** Number of quarantined requests that this process knows. */
   get size (): number {
-    return this.held.size
+    return this.quarantined.size
   }
 
-  /** Crashes of endpoints with requests of this process, since the start. */
+  /** Number of crashes of endpoints that were running requests of this process, since the start. */
   get crashes (): number {
     return this.reporter.crashes
   }
 
-  /** Why a request is sent to no endpoint; undefined if it may be. */
+  /** Returns why a request may not be sent to any endpoint; undefined if it may. */
   whyNot ({ fingerprint }: Pick<Call, 'fingerprint'>): string | undefined {
-    const alone = this.reporter.heldWithoutControl
-    if (this.held.size + alone.size === 0) return undefined
-    const known = whyHeld(this.services.store.records, fingerprint())
-    if (known !== undefined) return known
-    return alone.has(fingerprint()) ? 'endpoints crashed while this request was running there, and control can not be told' : undefined
+    const localOnly = this.reporter.heldWithoutControl
+    if (this.quarantined.size + localOnly.size === 0) return undefined
+    const reason = whyHeld(this.services.store.records, fingerprint())
+    if (reason !== undefined) return reason
+    return localOnly.has(fingerprint()) ? 'endpoints crashed while this request was running there, and control is unreachable' : undefined
   }
 
-  /** Notes what the end of an attempt tells of crashes: that its endpoint may have crashed, has ended, or lives. */
+  /** Records what the outcome of an attempt shows: the endpoint may have crashed, has ended, or is still running. */
   noteEnd (endpoint: EndpointState, call: Call, end: AttemptEnd): void {
-    if (end.type === 'broken' && end.isClosed) this.noteBroken(endpoint, call)
+    if (end.type === 'broken' && end.isClosed) this.recordBrokenAttempt(endpoint, call)
     if ((end.type === 'unsent' && end.isRefused === true) || verdictOf(end) === 'ended') this.watch.noteEnded(endpoint.description.incarnation)
     if (end.type === 'answered' || end.type === 'failed') this.reporter.noteRanWell(call.fingerprint)
   }
 
-  /** Notes that the connection to an endpoint ended by itself while a request was running there. */
-  private noteBroken ({ description: { incarnation, address }, heardAt }: EndpointState, { requestId, fingerprint }: Call): void {
+  /** Records that the connection to an endpoint was lost while a request was running there. */
+  private recordBrokenAttempt ({ description: { incarnation, address }, heardAt }: EndpointState, { requestId, fingerprint }: Call): void {
     const silentMs = Math.min(performance.now() - heardAt, this.services.view.leases.silentMs(incarnation))
     this.watch.noteBroken({ incarnation, address, silentMs }, { requestId, fingerprint: fingerprint() })
   }
 
-  private crashed (endpoint: string, requests: BrokenRequest[]): void {
+  private recordCrash (endpoint: string, requests: BrokenRequest[]): void {
     for (const { fingerprint, requestId } of requests) {
-      const why = `${endpoint} crashed while it was running there, with ${requests.length - 1} others of this box`
+      const why = `${endpoint} crashed while running this request and ${requests.length - 1} others of this box`
       this.services.logger.info({ channel: 'quarantine', event: 'crashed', fingerprint, endpoint, request: requestId, why })
     }
     this.reporter.note({ endpoint, requests: [...new Set(requests.map(({ fingerprint }) => fingerprint))] })
   }
 
-  private recordsChanged (): void {
+  /** Updates the quarantined requests from the stored records, and logs the changes. */
+  private updateQuarantined (): void {
     const { store, logger, view } = this.services
-    const before = this.held
-    this.held = heldRequestsIn(store.records)
-    const fresh = [...this.held].filter((fingerprint) => !before.has(fingerprint))
-    for (const fingerprint of fresh) logger.info({ channel: 'quarantine', event: 'held', fingerprint, why: 'sent to no endpoint from now on' })
+    const before = this.quarantined
+    this.quarantined = heldRequestsIn(store.records)
+    const added = [...this.quarantined].filter((fingerprint) => !before.has(fingerprint))
+    for (const fingerprint of added) {
+      logger.info({ channel: 'quarantine', event: 'held', fingerprint, why: 'quarantine began: the request is not sent to any endpoint' })
+    }
     for (const fingerprint of before) {
-      if (!this.held.has(fingerprint)) logger.info({ channel: 'quarantine', event: 'released', fingerprint, why: 'it may run again' })
+      if (!this.quarantined.has(fingerprint)) logger.info({ channel: 'quarantine', event: 'released', fingerprint, why: 'quarantine ended' })
     }
-    // What waits for an endpoint is refused at once.
-    if (fresh.length > 0) view.wake()
+    // Wakes waiting requests, so that quarantined ones among them are refused at once.
+    if (added.length > 0) view.wake()
   }
 }
--- a/entry/gateway/src/request-recorder.ts
+++ b/entry/gateway/src/request-recorder.ts
@@ -1,4 +1,4 @@
-/** What one request leaves behind for operators: log lines and figures. */
+/** Writes the log lines and metrics of one request. */
 import { type ForwardRecord } from '@gullwall/core.logger'
 import { type Candidate } from '@gullwall/routing.balancer'
 import { type AttemptHistory } from './attempt-history.ts'
@@ -8,21 +8,21 @@
 type Decision = ForwardRecord['decision']
 
 export class RequestRecorder {
-  /** When whole events were last passed on. */
+  /** When events were last forwarded to the caller, by the monotonic clock. */
   latestEventAt = -Infinity
   private firstEventAt: number | undefined
   private longestPauseMs = 0
-  /** The endpoint of the latest attempt. */
+  /** The candidate of the latest attempt. */
   private latest: Candidate | undefined
   private fingerprint: string | undefined
 
   constructor (private readonly services: GatewayServices, private readonly call: Call, private readonly history: AttemptHistory) {}
 
-  /** Notes that an attempt is about to be sent. */
+  /** Records that an attempt is about to be sent. */
   dispatched (candidate: Candidate): void {
     const { call, history, services } = this
     this.latest = candidate
-    const record = { ...this.record('dispatch'), why: whyOf(candidate) + services.coldEngines.noteOf(call) + services.limits.noteOf(call) }
+    const record = { ...this.record('dispatch'), why: describeChoice(candidate) + services.coldEngines.noteOf(call) + services.limits.noteOf(call) }
     if (history.isFirst) {
       services.metrics.queued.observe({ route: call.route.name }, this.elapsedMs / 1000)
       services.logger.sampled(candidate.leaving === undefined ? 'dispatch' : 'leave', record)
@@ -31,7 +31,7 @@
     }
   }
 
-  /** Notes whole events that were passed on. */
+  /** Records that complete events were forwarded. */
   passedEvents (): void {
     const now = performance.now()
     if (this.firstEventAt === undefined) {
@@ -43,17 +43,17 @@
     this.latestEventAt = now
   }
 
-  /** Notes that the latest attempt broke off, or that the request is held; from now on lines tell which request it is. */
+  /** Adds the fingerprint to all further log lines: the latest attempt was interrupted, or the request is quarantined. */
   tellFingerprint (): void {
     this.fingerprint = this.call.fingerprint()
   }
 
-  /** Notes what was decided between two attempts. */
+  /** Records a decision after or during an attempt. */
   decided (decision: 'retry' | 'resume' | 'stop', why: string): void {
     this.services.logger.info({ ...this.record(decision), why })
   }
 
-  /** Notes that the caller has its answer. Answers in time are sampled; each late one has its line. */
+  /** Records that the response is complete. Log lines of responses in time are sampled; each late response is logged. */
   answered (): void {
     this.count('answered')
     const lateness = this.lateness()
@@ -62,7 +62,7 @@
     else this.services.logger.info(record)
   }
 
-  /** Notes an end without a whole answer. */
+  /** Records the end of a request without a complete response. */
   ended (decision: 'refuse' | 'fail' | 'cancel', outcome: string, why: string): void {
     this.count(outcome)
     const { logger, coldEngines, limits } = this.services
@@ -77,7 +77,7 @@
     if (this.firstEventAt !== undefined) metrics.longestPause.observe({ route }, this.longestPauseMs / 1000)
   }
 
-  /** In what an answer missed its targets; undefined if it was in time. */
+  /** Describes which target the response missed; undefined if it was in time. */
   private lateness (): string | undefined {
     const { route, arrivedAt } = this.call
     const firstMs = (this.firstEventAt ?? performance.now()) - arrivedAt
@@ -133,8 +133,8 @@
   }
 }
 
-/** Why an endpoint was chosen. */
-function whyOf ({ isHome, leaving }: Candidate): string {
+/** Describes why an endpoint was chosen. */
+function describeChoice ({ isHome, leaving }: Candidate): string {
   if (leaving === undefined) return isHome ? 'home of its prompt' : 'least cost'
   const { region, costMs, stayCost } = leaving
   const stay = stayCost === undefined ? 'no endpoint there takes it' : `staying costs ${Math.round(stayCost)}`
--- a/entry/gateway/test/all-limited.test.ts
+++ b/entry/gateway/test/all-limited.test.ts
@@ -1,42 +1,46 @@
 import { afterEach, describe, expect, it } from 'vitest'
 import { LimitedDeployment, LimitedEngine, WINDOW_MS } from './limited-engines.ts'
 
-const HEARD_MS = 1500
-const RUNS_MS = 40
+/** Time after the first advertised limit by which all gateways know all limits, in ms. */
+const SETTLED_MS = 1500
+const RUN_MS = 40
 let deployment: LimitedDeployment | undefined
 
 afterEach(async () => await deployment?.stop(), 30_000)
 
-async function play (perSecond: number, demand: number, gateways: number, ms: number) {
-  const engines = ['i-a', 'i-b', 'i-c'].map((name) => new LimitedEngine(name, RUNS_MS))
+/** Sends `demand` requests a second to three engines that advertise `perSecond` each; returns the replies after the limits have settled. */
+async function runScenario (perSecond: number, demand: number, gateways: number, ms: number) {
+  const engines = ['i-a', 'i-b', 'i-c'].map((name) => new LimitedEngine(name, RUN_MS))
   deployment = new LimitedDeployment(engines)
   await deployment.start(gateways)
   await deployment.sendFor(500, demand)
   for (const engine of engines) engine.perSecond = perSecond
-  const named = performance.now()
+  const advertisedAt = performance.now()
   const replies = await deployment.sendFor(ms, demand)
-  const from = named + HEARD_MS
-  const later = replies.filter(({ at }) => at > from)
-  const refusedEarly = replies.filter(({ at, status }) => at <= from && status !== 200).length
-  console.log(`${gateways} gateways, ${perSecond} a second at each of 3, ${demand} asked for: refused ${refusedEarly} of ${replies.length - later.length} ` +
-    `in the first ${HEARD_MS} ms, then ${later.filter(({ status }) => status !== 200).length} of ${later.length}; ` +
-    `engines had ${engines.map((engine) => engine.countSince(from)).join(', ')}, at most ${engines.map((engine) => engine.busiest(from)).join(', ')} in ${WINDOW_MS} ms`)
-  return { engines, later, from }
+  const settledAt = advertisedAt + SETTLED_MS
+  const settledReplies = replies.filter(({ at }) => at > settledAt)
+  const refusedEarly = replies.filter(({ at, status }) => at <= settledAt && status !== 200).length
+  console.log(`${gateways} gateways, limit ${perSecond}/s at each of 3 engines, ${demand} requests/s: ` +
+    `refused ${refusedEarly} of ${replies.length - settledReplies.length} in the first ${SETTLED_MS} ms, ` +
+    `then ${settledReplies.filter(({ status }) => status !== 200).length} of ${settledReplies.length}; ` +
+    `engines received ${engines.map((engine) => engine.countSince(settledAt)).join(', ')}, ` +
+    `at most ${engines.map((engine) => engine.busiest(settledAt)).join(', ')} in ${WINDOW_MS} ms`)
+  return { engines, settledReplies, settledAt }
 }
 
-describe('a service all of whose endpoints have named limits', () => {
-  it('is served whole where they take more than there is', async () => {
-    const { engines, later, from } = await play(10, 15, 5, 8000)
-    for (const engine of engines) expect(engine.busiest(from)).toBeLessThanOrEqual(40)
-    expect(later.filter(({ status }) => status !== 200)).toEqual([])
+describe('a service whose endpoints all advertise limits', () => {
+  it('serves every request if the limits exceed the demand', async () => {
+    const { engines, settledReplies, settledAt } = await runScenario(10, 15, 5, 8000)
+    for (const engine of engines) expect(engine.busiest(settledAt)).toBeLessThanOrEqual(40)
+    expect(settledReplies.filter(({ status }) => status !== 200)).toEqual([])
   }, 40_000)
 
-  it('is used in full where there is more than they take', async () => {
+  it('uses the limits in full if the demand exceeds them', async () => {
     const ms = 14_000
-    const { engines, from } = await play(2, 30, 5, ms)
+    const { engines, settledAt } = await runScenario(2, 30, 5, ms)
     for (const engine of engines) {
-      expect(engine.busiest(from)).toBeLessThanOrEqual(8)
-      expect(engine.countSince(from)).toBeGreaterThan(0.8 * 2 * (ms - HEARD_MS) / 1000)
+      expect(engine.busiest(settledAt)).toBeLessThanOrEqual(8)
+      expect(engine.countSince(settledAt)).toBeGreaterThan(0.8 * 2 * (ms - SETTLED_MS) / 1000)
     }
   }, 40_000)
 })
--- a/entry/gateway/test/attempt-policy.test.ts
+++ b/entry/gateway/test/attempt-policy.test.ts
@@ -71,18 +71,18 @@
 const unsent: AttemptEnd = { type: 'unsent', why: 'no connection' }
 
 describe('admission', () => {
-  it('refuses what would be far too late, with the time to come back after', () => {
+  it('refuses a request whose predicted wait is too long, with a retry delay', () => {
     expect(admit(stateOf(), { ...candidate, waitMs: 3 * TARGET_MS })).toMatchObject({ type: 'refuse', afterMs: 2 * TARGET_MS })
     expect(admit(stateOf(), { ...candidate, waitMs: TARGET_MS / 2 })).toEqual({ type: 'send' })
   })
 
-  it('refuses nothing for a wait at which less urgent requests are still taken', () => {
+  it('refuses no request for a wait at which less urgent requests are still accepted', () => {
     const state = { ...stateOf(), patienceMs: 2 * TARGET_MS }
     expect(admit(state, { ...candidate, waitMs: 1.5 * TARGET_MS })).toEqual({ type: 'send' })
     expect(admit(state, { ...candidate, waitMs: 3 * TARGET_MS })).toMatchObject({ type: 'refuse' })
   })
 
-  it('refuses neither the most urgent nor what may have run already', () => {
+  it('refuses neither requests of tier 0 nor requests that may have run', () => {
     expect(admit(stateOf({ tier: 0 }), { ...candidate, waitMs: 3 * TARGET_MS })).toEqual({ type: 'send' })
     const state = stateOf()
     state.history.noteRun('i-1')
@@ -90,48 +90,48 @@
   })
 })
 
-describe('what follows an attempt', () => {
-  it('is nothing after an answer or after the caller has left', () => {
+describe('the step after an attempt', () => {
+  it('is none after a complete response or after the caller has disconnected', () => {
     expect(nextStep(stateOf(), 'i-1', { type: 'answered' })).toEqual({ type: 'over' })
     expect(nextStep(stateOf(), 'i-1', { type: 'cancelled' })).toEqual({ type: 'over' })
   })
 
-  it('is another attempt for what may be repeated, as often as the route allows', () => {
+  it('is another attempt for a repeatable request, up to the maximum of the route', () => {
     const state = stateOf({ maxAttempts: 2 })
     expect(nextStep(state, 'i-1', broken)).toMatchObject({ type: 'again' })
     expect(nextStep(state, 'i-2', broken)).toMatchObject({ type: 'fail', code: 'ERR_GULLWALL_BROKEN', why: 'reset; 2 of 2 attempts made' })
     expect([...state.history.excluded]).toEqual(['i-1', 'i-2'])
   })
 
-  it('is the failure for what runs at most once', () => {
+  it('is the failure for a request that runs at most once', () => {
     expect(nextStep(stateOf({ kind: 'once' }), 'i-1', broken)).toMatchObject({ type: 'fail', code: 'ERR_GULLWALL_UNKNOWN_OUTCOME' })
     expect(nextStep(stateOf({ isResumable: false }), 'i-1', broken)).toMatchObject({ type: 'fail', code: 'ERR_GULLWALL_UNKNOWN_OUTCOME' })
     expect(nextStep(stateOf({ kind: 'once' }), 'i-1', failed)).toMatchObject({ type: 'pass-failure', head: { status: 500 } })
   })
 
-  it('costs the retry budget once an endpoint was reached, and ends with it', () => {
+  it('uses the retry budget if an endpoint was reached, and is a refusal if the budget is used up', () => {
     const state = stateOf({ kind: 'once', slack: 3 })
     expect(nextStep(state, 'i-1', unsent)).toMatchObject({ type: 'again', budgetLeft: state.budget.left })
     expect(nextStep(state, 'i-2', notRun)).toMatchObject({ type: 'again' })
     expect(nextStep(state, 'i-3', notRun)).toMatchObject({ type: 'refuse', why: 'full; no retry budget left' })
   })
 
-  it('goes past any number of dead endpoints until the target has passed, and then tells the caller', () => {
+  it('is another attempt for any number of unreachable endpoints until the target has passed, and then a refusal', () => {
     const state = stateOf()
-    for (let dead = 0; dead < 30; dead += 1) {
-      expect(nextStep(state, `i-${dead}`, unsent, TARGET_MS / 2)).toMatchObject({ type: 'again' })
+    for (let index = 0; index < 30; index += 1) {
+      expect(nextStep(state, `i-${index}`, unsent, TARGET_MS / 2)).toMatchObject({ type: 'again' })
     }
     expect(nextStep(state, 'i-30', unsent, TARGET_MS)).toMatchObject({ type: 'refuse', why: '31 endpoints could not be reached: no connection' })
   })
 
-  it('goes past a few dead endpoints also after the target', () => {
+  it('is another attempt for the first few unreachable endpoints even after the target', () => {
     const state = stateOf()
-    const steps = Array.from({ length: 5 }, (_unused, dead) => nextStep(state, `i-${dead}`, unsent, 2 * TARGET_MS).type)
+    const steps = Array.from({ length: 5 }, (_unused, index) => nextStep(state, `i-${index}`, unsent, 2 * TARGET_MS).type)
     expect(steps).toEqual(['again', 'again', 'again', 'again', 'refuse'])
   })
 })
 
-describe('an endpoint that says nothing', () => {
+describe('an endpoint that does not respond', () => {
   const work = {
     startedAt: 0, unreadTokens: 0, urgency: 0, promptTokens: 0, strain: 0, isSensitive: false, aheadTokens: 0, hasBegun: true, eventAt: 0
   }
@@ -139,14 +139,14 @@
     ...state, candidate, work, lastProgressAt: 0, hasAlternative: () => hasAlternative
   })
 
-  it('loses a repeatable request after more than its target, where another could take it', () => {
+  it('loses a repeatable request well after its target if another endpoint is available', () => {
     const state = stateOf({ kind: 'repeatable' })
     expect(silenceOf(running(state), TARGET_MS)).toBeUndefined()
-    expect(silenceOf(running(state), 2 * TARGET_MS)).toBe(`nothing for ${2 * TARGET_MS} ms`)
+    expect(silenceOf(running(state), 2 * TARGET_MS)).toBe(`no response data for ${2 * TARGET_MS} ms`)
     expect(silenceOf(running(state, false), 2 * TARGET_MS)).toBeUndefined()
   })
 
-  it('keeps what runs at most once', () => {
+  it('keeps a request that runs at most once', () => {
     expect(silenceOf(running(stateOf({ kind: 'once' })), 100 * TARGET_MS)).toBeUndefined()
   })
 })
--- a/entry/gateway/test/attempts.fuzz.test.ts
+++ b/entry/gateway/test/attempts.fuzz.test.ts
@@ -1,4 +1,4 @@
-/** Random ends of attempts against the promises to callers: how often a request runs, what a refusal means, whole answers. */
+/** Guards the guarantees to callers under random outcomes of attempts: number of runs, meaning of a refusal, complete responses. */
 import { afterAll, beforeAll, expect, it } from 'vitest'
 import fc from 'fast-check'
 import { request } from 'undici'
@@ -8,35 +8,36 @@
 const RUNS = Number(process.env['FUZZ_RUNS'] ?? 60)
 const SEED = Number(process.env['FUZZ_SEED'] ?? 11)
 const EVENTS = 6
+const COMPLETE_BODY = 'the complete response'
 const MAX_ATTEMPTS = 2
 
-/** How one attempt ends at the endpoint. */
-type End = 'well' | 'refused' | 'failed' | 'closed' | 'cut' | 'another'
-const ENDS: readonly End[] = ['well', 'refused', 'failed', 'closed', 'cut', 'another']
+/** How the endpoint ends an attempt; `wrong-id`: the response has the id of another request. */
+type Outcome = 'complete' | 'refused' | 'failed' | 'closed' | 'truncated' | 'wrong-id'
+const OUTCOMES: readonly Outcome[] = ['complete', 'refused', 'failed', 'closed', 'truncated', 'wrong-id']
 const PATHS = ['look-up', 'order', 'draft', 'scan'] as const
 
 interface Arrival {
-  end: End
-  /** The event after which a stream was to go on. */
+  outcome: Outcome
+  /** Id of the event after which the stream resumes. */
   after: number
 }
 
 const arrivals = new Map<string, Arrival[]>()
-let plan: readonly End[] = []
+let plan: readonly Outcome[] = []
 
 function behave (incoming: IncomingMessage, response: ServerResponse): void {
   const id = String(incoming.headers['x-gullwall-request-id'])
   const known = arrivals.get(id) ?? []
-  const end = plan[known.length] ?? 'well'
+  const outcome = plan[known.length] ?? 'complete'
   const after = Number(incoming.headers['last-event-id'] ?? 0)
-  arrivals.set(id, [...known, { end, after }])
+  arrivals.set(id, [...known, { outcome, after }])
   const isStream = /^\/(draft|scan)\//.test(incoming.url ?? '')
-  const head = { 'x-gullwall-request-id': end === 'another' ? 'another' : id }
-  const whole = isStream ? eventsFrom(after) : 'the whole answer'
-  switch (end) {
-    case 'well':
-    case 'another':
-      response.writeHead(200, head).end(whole)
+  const head = { 'x-gullwall-request-id': outcome === 'wrong-id' ? 'another' : id }
+  const body = isStream ? eventsFrom(after) : COMPLETE_BODY
+  switch (outcome) {
+    case 'complete':
+    case 'wrong-id':
+      response.writeHead(200, head).end(body)
       break
     case 'refused':
       response.writeHead(503, { 'x-gullwall-ran': 'no' }).end()
@@ -47,9 +48,9 @@
     case 'closed':
       response.destroy()
       break
-    case 'cut':
-      response.writeHead(200, isStream ? head : { ...head, 'content-length': String(whole.length) })
-      response.write(isStream ? eventsFrom(after).slice(0, 30) : whole.slice(0, 5), () => response.destroy())
+    case 'truncated':
+      response.writeHead(200, isStream ? head : { ...head, 'content-length': String(body.length) })
+      response.write(isStream ? eventsFrom(after).slice(0, 30) : body.slice(0, 5), () => response.destroy())
   }
 }
 
@@ -72,8 +73,8 @@
 interface Reply {
   status: number
   text: string
-  /** Whether the answer ended as it should. */
-  isWhole: boolean
+  /** Whether the response ended normally. */
+  isComplete: boolean
 }
 
 async function send (path: string, id: string): Promise<Reply> {
@@ -83,19 +84,20 @@
   let text = ''
   try {
     for await (const chunk of reply.body as AsyncIterable<Buffer>) text += chunk.toString()
-    return { status: reply.statusCode, text, isWhole: true }
+    return { status: reply.statusCode, text, isComplete: true }
   } catch {
-    return { status: reply.statusCode, text, isWhole: false }
+    return { status: reply.statusCode, text, isComplete: false }
   }
 }
 
-it(`keeps what callers are promised, whatever becomes of the attempts (seed ${SEED})`, async () => {
+it(`keeps the guarantees to callers under any outcomes of attempts (seed ${SEED})`, async () => {
   console.log(`seed ${SEED}, ${RUNS} runs`)
-  await fc.assert(fc.asyncProperty(fc.constantFrom(...PATHS), fc.array(fc.constantFrom(...ENDS), { maxLength: 6 }), async (kind, ends) => {
+  const outcomesOfAttempts = fc.array(fc.constantFrom(...OUTCOMES), { maxLength: 6 })
+  await fc.assert(fc.asyncProperty(fc.constantFrom(...PATHS), outcomesOfAttempts, async (kind, outcomes) => {
     const id = `fuzz-${++ids}`
-    plan = ends
+    plan = outcomes
     const reply = await send(`/${kind}/${id}`, id)
-    const ran = (arrivals.get(id) ?? []).filter(({ end }) => end !== 'refused')
+    const ran = (arrivals.get(id) ?? []).filter(({ outcome }) => outcome !== 'refused')
     const isOnce = kind === 'order' || kind === 'scan'
     expect(ran.length).toBeLessThanOrEqual(isOnce ? 1 : MAX_ATTEMPTS)
     if (reply.status === 503) expect(ran).toEqual([])
@@ -103,11 +105,11 @@
     if (reply.status !== 200) return
     expect(ran.length).toBeGreaterThan(0)
     if (kind === 'look-up' || kind === 'order') {
-      expect(reply).toMatchObject({ text: 'the whole answer', isWhole: true })
+      expect(reply).toMatchObject({ text: COMPLETE_BODY, isComplete: true })
       return
     }
-    // Each event once and in order; the answer looks whole only if all have come.
+    // Each event arrives once and in order; the response ends normally only if all events have arrived.
     expect(eventsFrom(0).startsWith(reply.text)).toBe(true)
-    if (reply.isWhole) expect(reply.text).toBe(eventsFrom(0))
+    if (reply.isComplete) expect(reply.text).toBe(eventsFrom(0))
   }), { numRuns: RUNS, seed: SEED })
 }, 120_000)
--- a/entry/gateway/test/crashing-engines.ts
+++ b/entry/gateway/test/crashing-engines.ts
@@ -1,26 +1,26 @@
-/** Engines whose process ends when it begins to run a certain body, and starts again at the same address. */
+/** Engines whose process crashes while it runs a certain body, and restarts at the same address. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { type IncomingMessage, type ServerResponse } from 'node:http'
 import { answerWell, StandIn, type GatewayDeployment } from './stand-in.ts'
 
-/** After a crash the process is back after so long, in ms. */
+/** Time between a crash and the restart of the process, in ms. */
 export const BACK_AFTER_MS = 250
 
 const HEARTBEAT_MS = 500
 
 export interface CrashingOptions {
-  /** Whether a request with this body ends the process that runs it. */
+  /** Whether a request with this body crashes the process that runs it. */
   crashes: (body: string) => boolean
-  /** How long a request runs before it is answered, or ends its engine, in ms. */
+  /** Time after which a request is answered, or crashes its engine, in ms. */
   runsForMs?: number
 }
 
 export class CrashingEngines {
-  /** The bodies that each process that has ended was running then. */
+  /** The bodies that were running at each crash. */
   readonly crashes: string[][] = []
-  /** The bodies that were run, with their time. */
+  /** The bodies that were run, with the start times. */
   readonly runs: Array<{ body: string, at: number }> = []
-  private readonly places: Array<{ standIn: StandIn, running: string[], sequence: number }> = []
+  private readonly slots: Array<{ standIn: StandIn, running: string[], sequence: number }> = []
   private starts = 0
   private isOver = false
   private timer: NodeJS.Timeout | undefined
@@ -28,52 +28,52 @@
   constructor (private readonly deployment: GatewayDeployment, private readonly options: CrashingOptions) {}
 
   async start (count: number): Promise<void> {
-    for (let place = 0; place < count; place += 1) await this.startAt(place)
-    this.timer = setInterval(() => { void this.beat() }, HEARTBEAT_MS)
+    for (let slot = 0; slot < count; slot += 1) await this.startAt(slot)
+    this.timer = setInterval(() => { void this.sendHeartbeats() }, HEARTBEAT_MS)
   }
 
-  /** Ends all processes for good. */
+  /** Ends all processes without a restart. */
   stop (): void {
     this.isOver = true
     clearInterval(this.timer)
-    for (const { standIn } of this.places) standIn.stop()
+    for (const { standIn } of this.slots) standIn.stop()
   }
 
-  /** How many processes are up. */
+  /** Number of processes that are running. */
   get up (): number {
-    return this.places.filter(({ standIn }) => standIn.isUp).length
+    return this.slots.filter(({ standIn }) => standIn.isUp).length
   }
 
-  /** Ends the process at a place as a crash does, whatever it runs. */
-  crash (place: number): void {
-    const { standIn, running } = this.places[place] ?? this.missing(place)
+  /** Crashes the process in a slot, whatever it runs. */
+  crash (slot: number): void {
+    const { standIn, running } = this.slots[slot] ?? this.missing(slot)
     if (!standIn.isUp) return
     this.crashes.push([...running])
     standIn.stop()
-    void this.backLater(place)
+    void this.restartLater(slot)
   }
 
-  private async backLater (place: number): Promise<void> {
+  private async restartLater (slot: number): Promise<void> {
     await sleep(BACK_AFTER_MS)
-    if (!this.isOver) await this.startAt(place)
+    if (!this.isOver) await this.startAt(slot)
   }
 
-  private async startAt (place: number): Promise<void> {
+  private async startAt (slot: number): Promise<void> {
     this.starts += 1
     const running: string[] = []
-    const standIn = new StandIn(`i-${place}-${this.starts}`, 'app', (request, response, body) => {
-      void this.run({ place, running, request, response, body })
+    const standIn = new StandIn(`i-${slot}-${this.starts}`, 'app', (request, response, body) => {
+      void this.run({ slot, running, request, response, body })
     })
-    const port = Number(this.places[place]?.standIn.address.split(':')[1] ?? 0)
+    const port = Number(this.slots[slot]?.standIn.address.split(':')[1] ?? 0)
     await standIn.start(port)
-    this.places[place] = { standIn, running, sequence: 0 }
-    await this.beat(place)
+    this.slots[slot] = { standIn, running, sequence: 0 }
+    await this.sendHeartbeats(slot)
   }
 
-  /** Has the endpoints that are up say so, or the one at a place. */
-  private async beat (only?: number): Promise<void> {
-    for (const [place, known] of this.places.entries()) {
-      if (!known.standIn.isUp || (only !== undefined && only !== place)) continue
+  /** Sends heartbeats for all running engines, or only for the one in a slot. */
+  private async sendHeartbeats (only?: number): Promise<void> {
+    for (const [slot, known] of this.slots.entries()) {
+      if (!known.standIn.isUp || (only !== undefined && only !== slot)) continue
       known.sequence += 1
       const { incarnation, service, address, dataCentre } = known.standIn
       await this.deployment.control.get('registrar').hear({
@@ -82,26 +82,26 @@
     }
   }
 
-  private async run ({ place, running, request, response, body }: Run): Promise<void> {
+  private async run ({ slot, running, request, response, body }: Run): Promise<void> {
     const { crashes, runsForMs = 20 } = this.options
     running.push(body)
     this.runs.push({ body, at: performance.now() })
     await sleep(runsForMs)
     if (crashes(body)) {
-      this.crash(place)
+      this.crash(slot)
     } else if (!response.destroyed) {
       running.splice(running.indexOf(body), 1)
       answerWell(request, response, body)
     }
   }
 
-  private missing (place: number): never {
-    throw new Error(`no place ${place}`)
+  private missing (slot: number): never {
+    throw new Error(`no slot ${slot}`)
   }
 }
 
 interface Run {
-  place: number
+  slot: number
   running: string[]
   request: IncomingMessage
   response: ServerResponse
--- a/entry/gateway/test/crashing-request.test.ts
+++ b/entry/gateway/test/crashing-request.test.ts
@@ -1,9 +1,5 @@
-// One request ended each engine that began to run it. It came again and again, at every gateway and under new ids, and each
-// gateway judged each arrival as if it were the first: it sent it to an engine, and after that had ended to the next one.
-// Nothing knew it again. In one play 24 engines ended under one such request, and 113 of 166 streams were lost beside it in
-// 12 s; the lines read, at one gateway after the other,
-//   "decision":"fail" ... "why":"502 ERR_GULLWALL_BROKEN: UND_ERR_SOCKET: other side closed; 2 of 2 attempts made"
-// each time with another id, the same organisation and the same route.
+// Guards against a request that crashes every engine that runs it. Its caller retries it under new ids at all gateways; gateways that
+// do not recognise it send it to one engine after the other, and the streams beside it are lost.
 import { setTimeout as sleep } from 'node:timers/promises'
 import { afterAll, beforeAll, describe, expect, it } from 'vitest'
 import { request } from 'undici'
@@ -15,16 +11,17 @@
 
 const ENGINES = 6
 const ARRIVALS = 16
-/** Between two arrivals of the request, in ms. */
+/** Time between two arrivals of the request, in ms. */
 const PAUSE_MS = 150
-/** With so many engines ended under a request it is known; what is under way then may end as many more. */
-const KNOWN_AFTER = 3
-const UNDER_WAY = 3
+/** Number of crashes after which a request is quarantined. */
+const QUARANTINED_AFTER = 3
+/** Number of further crashes that attempts in flight may cause by then. */
+const MAX_IN_FLIGHT = 3
 
-const CRASHING = 'a sheet that no engine survives'
+const CRASHING_BODY = 'a body that crashes every engine'
 
 const deployment = new GatewayDeployment([])
-const engines = new CrashingEngines(deployment, { crashes: (body) => body === CRASHING })
+const engines = new CrashingEngines(deployment, { crashes: (body) => body === CRASHING_BODY })
 let gateways: Array<Kernel<GatewayServices>> = []
 let ids = 0
 
@@ -48,19 +45,19 @@
   await deployment.stop()
 })
 
-describe('a request that ends each engine that runs it', () => {
-  it('is sent no more once three engines have ended under it, whichever gateway it comes to', async () => {
+describe('a request that crashes each engine that runs it', () => {
+  it('is not sent by any gateway after three engines have crashed under it', async () => {
     for (let arrival = 0; arrival < ARRIVALS; arrival += 1) {
-      await send(gateways[arrival % gateways.length], CRASHING)
+      await send(gateways[arrival % gateways.length], CRASHING_BODY)
       await sleep(PAUSE_MS)
     }
-    const ended = engines.crashes.filter((running) => running.includes(CRASHING)).length
-    expect(ended).toBeGreaterThanOrEqual(KNOWN_AFTER)
-    expect(ended).toBeLessThanOrEqual(KNOWN_AFTER + UNDER_WAY)
+    const crashCount = engines.crashes.filter((running) => running.includes(CRASHING_BODY)).length
+    expect(crashCount).toBeGreaterThanOrEqual(QUARANTINED_AFTER)
+    expect(crashCount).toBeLessThanOrEqual(QUARANTINED_AFTER + MAX_IN_FLIGHT)
   })
 
-  it('does not keep other requests of the same caller on the same path from being served', async () => {
+  it('does not affect other requests of the same caller on the same path', async () => {
     await until('all engines', () => engines.up === ENGINES)
-    for (const [index, gateway] of gateways.entries()) expect((await send(gateway, `another sheet ${index}`)).status).toBe(200)
+    for (const [index, gateway] of gateways.entries()) expect((await send(gateway, `another body ${index}`)).status).toBe(200)
   })
 })
--- a/entry/gateway/test/events.test.ts
+++ b/entry/gateway/test/events.test.ts
@@ -4,36 +4,36 @@
 
 const SEED = Number(process.env['FUZZ_SEED'] ?? 11)
 
-describe('whole events', () => {
-  it(`are the same however the bytes are cut (seed ${SEED})`, () => {
+describe('complete events', () => {
+  it(`are the same for any division of the bytes into chunks (seed ${SEED})`, () => {
     const body = Buffer.from(Array.from({ length: 9 }, (_, id) => `id: ${id + 1}\ndata: ${'x'.repeat(id * 3)}\n\n`).join(''))
     fc.assert(fc.property(fc.array(fc.integer({ min: 1, max: 40 }), { minLength: 1 }), (sizes) => {
-      const cutter = new EventCutter()
-      const passed: Buffer[] = []
+      const splitter = new EventCutter()
+      const received: Buffer[] = []
       let lastId: string | undefined
       for (let offset = 0, turn = 0; offset < body.length; turn++) {
         const size = sizes[turn % sizes.length] ?? 1
-        const events = cutter.take(body.subarray(offset, offset + size))
+        const events = splitter.take(body.subarray(offset, offset + size))
         offset += size
         if (events === undefined) continue
         expect(events.bytes.subarray(-2).toString()).toBe('\n\n')
-        passed.push(events.bytes)
+        received.push(events.bytes)
         lastId = events.lastId
       }
-      expect(Buffer.concat(passed).equals(body)).toBe(true)
+      expect(Buffer.concat(received).equals(body)).toBe(true)
       expect(lastId).toBe('9')
-      expect(cutter.remainder()).toHaveLength(0)
+      expect(splitter.remainder()).toHaveLength(0)
     }), { seed: SEED, numRuns: 200 })
   })
 
-  it('keep back what breaks off in the middle', () => {
-    const cutter = new EventCutter()
-    expect(cutter.take(Buffer.from('id: 1\ndata: a\n\nid: 2\nda'))?.lastId).toBe('1')
-    expect(cutter.take(Buffer.from('ta: b\n'))).toBeUndefined()
-    expect(cutter.remainder().toString()).toBe('id: 2\ndata: b\n')
+  it('exclude an event that is incomplete', () => {
+    const splitter = new EventCutter()
+    expect(splitter.take(Buffer.from('id: 1\ndata: a\n\nid: 2\nda'))?.lastId).toBe('1')
+    expect(splitter.take(Buffer.from('ta: b\n'))).toBeUndefined()
+    expect(splitter.remainder().toString()).toBe('id: 2\ndata: b\n')
   })
 
-  it('are found where lines end with carriage returns', () => {
+  it('are found if lines end with a carriage return and a line feed', () => {
     expect(new EventCutter().take(Buffer.from('id: 4\r\ndata: a\r\n\r\n'))?.lastId).toBe('4')
   })
 })
--- a/entry/gateway/test/exchange.test.ts
+++ b/entry/gateway/test/exchange.test.ts
@@ -4,36 +4,36 @@
 
 const CONNECT_MS = 350
 
-/** Begins an exchange over a connection that a test makes. */
-function begin () {
+/** Starts an exchange; `connect` reports to the exchange that its connection is established. */
+function startExchange () {
   let handler: Dispatcher.DispatchHandler | undefined
-  const dispatcher = { dispatch: (_options: unknown, its: Dispatcher.DispatchHandler) => { handler = its } } as unknown as Dispatcher
+  const dispatcher = { dispatch: (_options: unknown, given: Dispatcher.DispatchHandler) => { handler = given } } as unknown as Dispatcher
   const exchange = new Exchange(dispatcher, 'http://10.0.0.1:80', {
     method: 'GET', path: '/', headers: [], body: undefined, connectMs: CONNECT_MS, whyNot: () => undefined, wasClosedWell: async () => true
   }, { onInterim: () => {}, onHead: () => true, onData: () => {} })
   const abort = vi.fn()
-  return { exchange, abort, connected: () => handler?.onRequestStart?.({ abort } as unknown as Dispatcher.DispatchController, {}) }
+  return { exchange, abort, connect: () => handler?.onRequestStart?.({ abort } as unknown as Dispatcher.DispatchController, {}) }
 }
 
 afterEach(() => { vi.restoreAllMocks() })
 
 describe('an exchange', () => {
-  it('is sent once its connection is made in time', () => {
-    const { exchange, abort, connected } = begin()
-    connected()
+  it('is sent if its connection is established in time', () => {
+    const { exchange, abort, connect } = startExchange()
+    connect()
     expect(exchange.isSent).toBe(true)
     expect(abort).not.toHaveBeenCalled()
     exchange.cancel()
   })
 
-  it('is never sent over a connection that a process which was frozen finds too late', async () => {
-    const { exchange, abort, connected } = begin()
+  it('is not sent if a suspended process handles its connection after the timeout', async () => {
+    const { exchange, abort, connect } = startExchange()
     const later = performance.now() + CONNECT_MS + 1
-    // The clock has gone on, but no timer has run.
+    // The clock has advanced, but no timer has run.
     vi.spyOn(performance, 'now').mockReturnValue(later)
-    connected()
+    connect()
     expect(exchange.isSent).toBe(false)
     expect(abort).toHaveBeenCalledOnce()
-    expect(await exchange.ended).toEqual({ type: 'unsent', why: 'the connection was made too late' })
+    expect(await exchange.ended).toEqual({ type: 'unsent', why: 'the connection was established too late' })
   })
 })
--- a/entry/gateway/test/held-request.test.ts
+++ b/entry/gateway/test/held-request.test.ts
@@ -1,4 +1,4 @@
-/** A request under which engines crash, and what it does to those beside it, to its caller, and to boxes that come later. */
+/** Quarantine of a request under which engines crash: its effect on other requests, on its caller, and on gateways that start later. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { afterAll, beforeAll, describe, expect, it } from 'vitest'
 import { request } from 'undici'
@@ -10,12 +10,14 @@
 import { GatewayDeployment } from './stand-in.ts'
 
 const ENGINES = 6
-const CRASHING = 'a sheet that no engine survives'
-const ALSO_CRASHING = 'another sheet that no engine survives'
-const RUNS_MS = 60
+const CRASHING_BODY = 'a body that crashes every engine'
+const OTHER_CRASHING_BODY = 'another body that crashes every engine'
+const RUN_MS = 60
 
 const deployment = new GatewayDeployment([])
-const engines = new CrashingEngines(deployment, { crashes: (body) => body === CRASHING || body === ALSO_CRASHING, runsForMs: RUNS_MS })
+const engines = new CrashingEngines(deployment, {
+  crashes: (body) => body === CRASHING_BODY || body === OTHER_CRASHING_BODY, runsForMs: RUN_MS
+})
 let ids = 0
 
 interface Reply {
@@ -33,17 +35,17 @@
   return { id, status: reply.statusCode, retryAfter: Number(reply.headers['retry-after']), text: await reply.body.text() }
 }
 
-const here = () => deployment.gateway
-const heldCount = () => here().get('quarantine').size
-const linesOf = () => deployment.lines.map((line) => JSON.parse(line) as LogLine)
-const endedUnder = (body: string) => engines.crashes.filter((running) => running.includes(body)).length
+const mainGateway = () => deployment.gateway
+const quarantinedCount = () => mainGateway().get('quarantine').size
+const logLines = () => deployment.lines.map((line) => JSON.parse(line) as LogLine)
+const crashesUnder = (body: string) => engines.crashes.filter((running) => running.includes(body)).length
 
-/** Sends a request until it is held. */
-async function sendUntilHeld (body: string): Promise<void> {
-  const before = heldCount()
-  await until('it is held', async () => {
-    await send(here(), body)
-    return heldCount() > before
+/** Sends a request until it is quarantined. */
+async function sendUntilQuarantined (body: string): Promise<void> {
+  const before = quarantinedCount()
+  await until('the quarantine', async () => {
+    await send(mainGateway(), body)
+    return quarantinedCount() > before
   })
 }
 
@@ -57,64 +59,64 @@
   await deployment.stop()
 })
 
-describe('a request that is held', () => {
-  const beside: Array<Promise<Reply>> = []
+describe('a quarantined request', () => {
+  const concurrent: Array<Promise<Reply>> = []
 
-  it('is the only one: what ran beside it is served', async () => {
-    const bodies = Array.from({ length: 60 }, (_unused, index) => `a good sheet ${index}`)
+  it('is the only one: requests that ran at the same engines are still served', async () => {
+    const bodies = Array.from({ length: 60 }, (_unused, index) => `a harmless body ${index}`)
     const sending = bodies.map(async (body, index) => {
       await sleep(20 * index)
-      beside.push(send(here(), body))
+      concurrent.push(send(mainGateway(), body))
     })
-    await sendUntilHeld(CRASHING)
+    await sendUntilQuarantined(CRASHING_BODY)
     await Promise.all(sending)
-    await Promise.all(beside)
-    expect(heldCount()).toBe(1)
+    await Promise.all(concurrent)
+    expect(quarantinedCount()).toBe(1)
     expect(engines.crashes.some((running) => running.length > 1)).toBe(true)
     await until('all engines', () => engines.up === ENGINES)
-    for (const body of bodies) expect((await send(here(), body)).status, body).toBe(200)
+    for (const body of bodies) expect((await send(mainGateway(), body)).status, body).toBe(200)
   })
 
-  it('is refused with the truth: not run, when to come back, and why', async () => {
+  it('is refused as not run, with a retry delay and the reason', async () => {
     const ranBefore = engines.runs.length
-    const { id, status, retryAfter, text } = await send(here(), CRASHING)
+    const { id, status, retryAfter, text } = await send(mainGateway(), CRASHING_BODY)
     expect(engines.runs.length).toBe(ranBefore)
     expect({ status, retryAfter }).toEqual({ status: 503, retryAfter: 60 })
     expect(JSON.parse(text)).toMatchObject({ error: { ran: 'no' } })
     expect(text).toContain('crashed while this request was running there')
-    const story = tellStory(linesOf(), id)
+    const story = tellStory(logLines(), id)
     expect(story.at(-1)).toMatchObject({ isOwn: true, what: 'refuse' })
     expect(story.filter(({ what }) => what === 'quarantine crashed').length).toBeGreaterThanOrEqual(3)
     expect(story.some(({ what }) => what === 'quarantine held')).toBe(true)
-    const metrics = await here().get('registry').metrics()
+    const metrics = await mainGateway().get('registry').metrics()
     expect(metrics).toContain('gullwall_quarantined_requests 1')
     expect(metrics).toMatch(/gullwall_quarantine_refusals_total [1-9]/)
     expect(metrics).toMatch(/gullwall_endpoint_crashes_total [1-9]/)
   })
 
-  it('may come on another path, where it is not the same request', async () => {
+  it('may run on another path, where it is a different request', async () => {
     const ranBefore = engines.runs.length
-    await send(here(), CRASHING, '/look-up/elsewhere')
+    await send(mainGateway(), CRASHING_BODY, '/look-up/elsewhere')
     expect(engines.runs.length).toBeGreaterThan(ranBefore)
   })
 
-  it('is known to a box that starts later, before it takes anything', async () => {
+  it('is known to a gateway that starts later, before that gateway accepts requests', async () => {
     const later = await deployment.startGateway('b3')
-    const ranBefore = engines.runs.filter(({ body }) => body === CRASHING).length
-    expect((await send(later, CRASHING)).status).toBe(503)
-    expect(engines.runs.filter(({ body }) => body === CRASHING).length).toBe(ranBefore)
+    const ranBefore = engines.runs.filter(({ body }) => body === CRASHING_BODY).length
+    expect((await send(later, CRASHING_BODY)).status).toBe(503)
+    expect(engines.runs.filter(({ body }) => body === CRASHING_BODY).length).toBe(ranBefore)
     await later.stop()
   })
 
-  it('is stopped by a box that can tell no control process, by what this box saw', async () => {
+  it('is quarantined by a gateway that can reach no control process, from its own observations', async () => {
     await until('all engines', () => engines.up === ENGINES)
     await deployment.control.stop()
     for (let arrival = 0; arrival < 12; arrival += 1) {
-      await send(here(), ALSO_CRASHING)
+      await send(mainGateway(), OTHER_CRASHING_BODY)
       await sleep(300)
     }
-    // Three to know it, and what comes before the box takes itself to be alone.
-    expect(endedUnder(ALSO_CRASHING)).toBeLessThanOrEqual(8)
-    expect((await send(here(), ALSO_CRASHING)).status).toBe(503)
+    // Three crashes identify the request; the others happen before the gateway decides without control.
+    expect(crashesUnder(OTHER_CRASHING_BODY)).toBeLessThanOrEqual(8)
+    expect((await send(mainGateway(), OTHER_CRASHING_BODY)).status).toBe(503)
   })
 })
--- a/entry/gateway/test/limit-named.test.ts
+++ b/entry/gateway/test/limit-named.test.ts
@@ -1,9 +1,5 @@
-// Two engines of six named in their answers that they take 1 request a second from all boxes together. Nothing read that: five
-// gateways went on as before, and the two got 2.5 and 2.0 requests a second where they had got 2.4 and 2.3, up to 13 and 12
-// within 4 s. Callers saw nothing of it, the engines had more than they have room for. No gateway could have kept to it alone
-// either: the 13 came from four gateways or more, and each knew of its own sends only. In the lines of all five the dispatches to
-// the two go on as before 8 s, when they named it, and no line speaks of a limit:
-//   "decision":"dispatch" ... "attempt":1 ... "endpoint":"i-702969f42e" ... "why":"least cost"
+// Guards against gateways that ignore the rate limit an engine advertises in its responses. The limit covers all gateways together, so
+// that a gateway that counts only its own requests can't enforce it.
 import { setTimeout as sleep } from 'node:timers/promises'
 import { afterAll, beforeAll, describe, expect, it } from 'vitest'
 import { request } from 'undici'
@@ -14,20 +10,20 @@
 const GATEWAYS = 5
 const PER_SECOND = 1
 const WINDOW_MS = 4000
-/** The named rate over any such time. */
-const MOST = PER_SECOND * WINDOW_MS / 1000
-/** What was sent before all had heard of the limit has arrived by then, in ms after it was named first. */
-const HEARD_MS = 1500
-const PLAY_MS = 12_000
+/** Maximum number of requests in a window under the advertised limit. */
+const MAX_PER_WINDOW = PER_SECOND * WINDOW_MS / 1000
+/** Time after the first advertised limit by which requests of gateways that did not know the limit have arrived, in ms. */
+const SETTLED_MS = 1500
+const DURATION_MS = 12_000
 const SPACING_MS = 66
-const RUNS_MS = 50
+const RUN_MS = 50
 
 const engines = ['i-a', 'i-b', 'i-c'].map((incarnation) => new StandIn(incarnation, 'app'))
 const deployment = new GatewayDeployment(engines)
 const others: Array<Kernel<GatewayServices>> = []
 let ids = 0
 
-const answers: Behaviour = (incoming, response, body) => {
+const answerLater: Behaviour = (incoming, response, body) => {
   setTimeout(() => {
     if (!(incoming.url ?? '').startsWith('/draft/')) {
       answerWell(incoming, response, body)
@@ -35,18 +31,18 @@
     }
     response.writeHead(200, { 'content-type': 'text/event-stream', 'x-gullwall-request-id': String(incoming.headers['x-gullwall-request-id']) })
     response.end('id: 1\ndata: 1\n\n')
-  }, RUNS_MS)
+  }, RUN_MS)
 }
 
 async function send (address: string, path: string): Promise<number> {
   const reply = await request(`http://${address}${path}`, {
-    method: 'POST', headers: { authorization: 'Bearer secret', 'x-gullwall-request-id': `request-${++ids}` }, body: 'a sheet'
+    method: 'POST', headers: { authorization: 'Bearer secret', 'x-gullwall-request-id': `request-${++ids}` }, body: 'a body'
   })
   await reply.body.text()
   return reply.statusCode
 }
 
-/** Sends requests through all gateways at even intervals; gives their statuses. */
+/** Sends requests through all gateways at even intervals; returns their statuses. */
 async function sendFor (ms: number): Promise<number[]> {
   const addresses = [deployment.gateway, ...others].map((gateway) => gateway.get('ingress').address)
   const replies: Array<Promise<number>> = []
@@ -58,8 +54,8 @@
   return await Promise.all(replies)
 }
 
-/** The most arrivals within any window that begins at `from` or later. */
-function busiest (arrivals: readonly number[], from: number): number {
+/** Returns the maximum number of arrivals in any window that starts at `from` or later. */
+function maxPerWindow (arrivals: readonly number[], from: number): number {
   const counted = arrivals.filter((at) => at >= from)
   return Math.max(0, ...counted.map((start) => counted.filter((at) => at >= start && at < start + WINDOW_MS).length))
 }
@@ -67,7 +63,7 @@
 beforeAll(async () => {
   await deployment.start()
   for (const engine of engines) {
-    engine.behaviour = answers
+    engine.behaviour = answerLater
     await deployment.register(engine)
   }
   await deployment.configure(1)
@@ -78,23 +74,23 @@
   await deployment.stop()
 }, 30_000)
 
-describe('an endpoint that names a limit of requests a second in its answers', () => {
-  it('gets no more than that from all gateways together, and is used up to it', async () => {
+describe('an endpoint that advertises a limit of requests a second in its responses', () => {
+  it('receives no more than the limit from all gateways together, and most of what the limit allows', async () => {
     const [limited] = engines as [StandIn]
     await sendFor(500)
     const arrivals: number[] = []
     limited.behaviour = (incoming, response, body) => {
       arrivals.push(performance.now())
       response.setHeader('x-gullwall-limit', String(PER_SECOND))
-      answers(incoming, response, body)
+      answerLater(incoming, response, body)
     }
-    const statuses = await sendFor(PLAY_MS)
-    limited.behaviour = answers
-    const [named = Infinity] = arrivals
-    const counted = arrivals.filter((at) => at > named + HEARD_MS)
-    expect(busiest(arrivals, named + HEARD_MS)).toBeLessThanOrEqual(MOST)
-    expect(counted.length).toBeGreaterThan(PER_SECOND * (PLAY_MS - HEARD_MS) / 1000 * 2 / 3)
-    // The others have room for all of it.
+    const statuses = await sendFor(DURATION_MS)
+    limited.behaviour = answerLater
+    const [advertisedAt = Infinity] = arrivals
+    const counted = arrivals.filter((at) => at > advertisedAt + SETTLED_MS)
+    expect(maxPerWindow(arrivals, advertisedAt + SETTLED_MS)).toBeLessThanOrEqual(MAX_PER_WINDOW)
+    expect(counted.length).toBeGreaterThan(PER_SECOND * (DURATION_MS - SETTLED_MS) / 1000 * 2 / 3)
+    // The other engines have capacity for all other requests.
     expect(statuses.filter((status) => status !== 200)).toEqual([])
   }, 30_000)
 })
--- a/entry/gateway/test/limit-together.test.ts
+++ b/entry/gateway/test/limit-together.test.ts
@@ -12,22 +12,24 @@
 const SEED = Number(process.env['FUZZ_SEED'] ?? 4)
 const LIMITED = 'i-limited'
 
-interface Play {
+interface Scenario {
   boxes: number
+  /** The advertised limit. */
   perSecond: number
-  /** Requests a second of all boxes together that would have the endpoint. */
+  /** Requests a second for the endpoint, from all boxes together. */
   demand: number
-  /** There and back between a box and the leader, in ms. */
+  /** Round-trip time between a box and the leader, in ms. */
   roundTripMs: number
   seconds: number
   /** When the leader is killed, in s; another one leads a second later. */
   leaderEndsAtS?: number
 }
 
-class Together {
+/** Simulates boxes that send requests to one limited endpoint under grants of a leader. */
+class Simulation {
   readonly sentAt: number[] = []
   readonly sentBy = new Map<number, number>()
-  asks = 0
+  messages = 0
   private draws = 0
   private ledger: GrantLedger | undefined = new GrantLedger({ opensAt: -Infinity })
   private readonly startedAt = performance.now()
@@ -36,12 +38,12 @@
     incarnation: LIMITED, service: 'lm', dataCentre: 'dc1', address: 'a:1', slots: 64
   })
 
-  constructor (private readonly play: Play) {
-    this.boxes = Array.from({ length: play.boxes }, (_unused, index) => this.newBox(`b${index}`))
+  constructor (private readonly scenario: Scenario) {
+    this.boxes = Array.from({ length: scenario.boxes }, (_unused, index) => this.newBox(`b${index}`))
   }
 
   async run (): Promise<void> {
-    const { seconds, leaderEndsAtS = Infinity, boxes, demand } = this.play
+    const { seconds, leaderEndsAtS = Infinity, boxes, demand } = this.scenario
     let nextAt = 0
     for (let ms = 0; ms < seconds * SECOND; ms += TICK_MS) {
       if (ms === leaderEndsAtS * SECOND) this.ledger = undefined
@@ -51,8 +53,8 @@
     }
   }
 
-  /** The most requests within any window. */
-  get busiest (): number {
+  /** Maximum number of requests in any window. */
+  get maxPerWindow (): number {
     return Math.max(0, ...this.sentAt.map((from) => this.sentAt.filter((at) => at >= from && at < from + WINDOW_MS).length))
   }
 
@@ -70,28 +72,28 @@
       logger: silentLogger(),
       now: () => performance.now(),
       purse: new GrantPurse(),
-      entries: () => this.play.boxes,
+      entries: () => this.scenario.boxes,
       wake: () => {},
       isCold: () => false,
       onOver: () => {},
       ask: async (wishes) => {
-        this.asks += 1
-        await this.pass(this.play.roundTripMs / 2)
+        this.messages += 1
+        await this.delay(this.scenario.roundTripMs / 2)
         const { ledger } = this
-        if (ledger === undefined) throw new Error('nobody leads')
-        const bounds = [limitGrantBound(this.play.perSecond) as GrantBound]
+        if (ledger === undefined) throw new Error('no leader')
+        const bounds = [limitGrantBound(this.scenario.perSecond) as GrantBound]
         const grants = wishes.map(({ incarnation, requests, perSecond }) => (
           { ...ledger.grant({ incarnation, box, requests, bounds }, performance.now()), perSecond }
         ))
-        await this.pass(this.play.roundTripMs / 2)
+        await this.delay(this.scenario.roundTripMs / 2)
         return grants
       }
     })
-    limits.note({ incarnation: LIMITED, limit: { perSecond: this.play.perSecond, sentAt: 0, heardAt: 0 } })
+    limits.note({ incarnation: LIMITED, limit: { perSecond: this.scenario.perSecond, sentAt: 0, heardAt: 0 } })
     return limits
   }
 
-  private async pass (ms: number): Promise<void> {
+  private async delay (ms: number): Promise<void> {
     await new Promise((resolve) => { setTimeout(resolve, ms) })
   }
 
@@ -105,39 +107,41 @@
   }
 }
 
-async function played (play: Play): Promise<Together> {
-  const together = new Together(play)
-  await together.run()
-  console.log(`seed ${SEED}: ${play.boxes} boxes, ${play.perSecond} a second, ${play.demand} asked for: ${together.sentAt.length} sent in ` +
-    `${play.seconds} s by ${together.sentBy.size} boxes, at most ${together.busiest} in ${WINDOW_MS} ms, ${Math.round(together.asks / play.seconds)} asks a second`)
-  return together
+async function simulate (scenario: Scenario): Promise<Simulation> {
+  const simulation = new Simulation(scenario)
+  await simulation.run()
+  const { boxes, perSecond, demand, seconds } = scenario
+  console.log(`seed ${SEED}: ${boxes} boxes, limit ${perSecond}/s, demand ${demand}/s: ${simulation.sentAt.length} sent in ` +
+    `${seconds} s by ${simulation.sentBy.size} boxes, at most ${simulation.maxPerWindow} in ${WINDOW_MS} ms, ` +
+    `${Math.round(simulation.messages / seconds)} messages/s`)
+  return simulation
 }
 
 beforeEach(() => { vi.useFakeTimers() })
 afterEach(() => { vi.useRealTimers() })
 
-describe('an endpoint that has named a limit, before many boxes', () => {
+describe('an endpoint that advertises a limit to many boxes', () => {
   it.each([
     { boxes: 300, perSecond: 1, demand: 150, roundTripMs: 4, seconds: 40 },
     { boxes: 300, perSecond: 1, demand: 150, roundTripMs: 90, seconds: 40 },
     { boxes: 5, perSecond: 1, demand: 10, roundTripMs: 4, seconds: 40 },
     { boxes: 2, perSecond: 20, demand: 100, roundTripMs: 4, seconds: 20 }
-  ])('gets no more than it named, and nine tenths of it where there is work: %o', async (play) => {
-    const together = await played(play)
-    expect(together.busiest).toBeLessThanOrEqual(play.perSecond * WINDOW_MS / SECOND)
-    expect(together.sentAt.length).toBeGreaterThanOrEqual(0.9 * play.perSecond * (play.seconds - 1))
+  ])('receives no more than its limit, and nine tenths of the limit under sufficient demand: %o', async (scenario) => {
+    const simulation = await simulate(scenario)
+    expect(simulation.maxPerWindow).toBeLessThanOrEqual(scenario.perSecond * WINDOW_MS / SECOND)
+    expect(simulation.sentAt.length).toBeGreaterThanOrEqual(0.9 * scenario.perSecond * (scenario.seconds - 1))
   }, 60_000)
 
-  it('is used by all boxes that have work, none of them starved', async () => {
-    const together = await played({ boxes: 20, perSecond: 5, demand: 100, roundTripMs: 4, seconds: 40 })
-    expect(together.sentBy.size).toBe(20)
-    expect(Math.min(...together.sentBy.values())).toBeGreaterThan(together.sentAt.length / 20 / 3)
+  it('receives requests from all boxes, and no box starves', async () => {
+    const simulation = await simulate({ boxes: 20, perSecond: 5, demand: 100, roundTripMs: 4, seconds: 40 })
+    expect(simulation.sentBy.size).toBe(20)
+    expect(Math.min(...simulation.sentBy.values())).toBeGreaterThan(simulation.sentAt.length / 20 / 3)
   }, 60_000)
 
-  it('gets no more than it named when the leader is killed, nothing while nobody leads, and its rate again soon after', async () => {
-    const together = await played({ boxes: 20, perSecond: 10, demand: 100, roundTripMs: 4, seconds: 32, leaderEndsAtS: 8 })
-    expect(together.busiest).toBeLessThanOrEqual(40)
-    expect(together.countBetween(8.1, 10)).toBe(0)
-    expect(together.countBetween(12, 32)).toBeGreaterThanOrEqual(0.9 * 10 * 20)
+  it('receives no more than its limit when the leader is killed, nothing without a leader, and its full rate soon after', async () => {
+    const simulation = await simulate({ boxes: 20, perSecond: 10, demand: 100, roundTripMs: 4, seconds: 32, leaderEndsAtS: 8 })
+    expect(simulation.maxPerWindow).toBeLessThanOrEqual(40)
+    expect(simulation.countBetween(8.1, 10)).toBe(0)
+    expect(simulation.countBetween(12, 32)).toBeGreaterThanOrEqual(0.9 * 10 * 20)
   }, 60_000)
 })
--- a/entry/gateway/test/limited-engines.ts
+++ b/entry/gateway/test/limited-engines.ts
@@ -1,4 +1,4 @@
-/** Several gateways before endpoints that name limits, and requests through all of them at even intervals. */
+/** A deployment of several gateways and engines that advertise limits, with requests through all gateways at even intervals. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { request } from 'undici'
 import { type GatewayServices } from '@gullwall/entry.gateway'
@@ -12,25 +12,25 @@
   at: number
   status: number
   retryAfterS: number
-  /** What a caller that is not served is told. */
+  /** The body of an error response; empty for a success. */
   why: string
 }
 
 export class LimitedEngine extends StandIn {
-  /** Requests a second that it names in its answers; none where it names none. */
+  /** The limit that the engine advertises in its responses, in requests a second; undefined for none. */
   perSecond: number | undefined
   readonly arrivals: number[] = []
 
-  constructor (incarnation: string, private readonly runsMs: number) {
+  constructor (incarnation: string, private readonly runMs: number) {
     super(incarnation, 'app')
     this.behaviour = (incoming, response, body) => {
       this.arrivals.push(performance.now())
       if (this.perSecond !== undefined) response.setHeader(LIMIT_HEADER, String(this.perSecond))
-      setTimeout(() => answer(incoming, response, body), this.runsMs)
+      setTimeout(() => answer(incoming, response, body), this.runMs)
     }
   }
 
-  /** The most arrivals within any window that begins at `from` or later. */
+  /** Returns the maximum number of arrivals in any window that starts at `from` or later. */
   busiest (from: number): number {
     const counted = this.arrivals.filter((at) => at >= from)
     return Math.max(0, ...counted.map((start) => counted.filter((at) => at >= start && at < start + WINDOW_MS).length))
@@ -77,7 +77,7 @@
     return [this.deployment.gateway, ...this.others]
   }
 
-  /** Sends so many requests a second through all gateways together; gives the replies. */
+  /** Sends `perSecond` requests a second through all gateways together for `ms`; returns the replies. */
   async sendFor (ms: number, perSecond: number): Promise<Reply[]> {
     const addresses = this.gateways.map((gateway) => gateway.get('ingress').address)
     const replies: Array<Promise<Reply>> = []
@@ -93,7 +93,7 @@
     const at = performance.now()
     this.ids += 1
     const reply = await request(`http://${address}${PATHS[this.ids % PATHS.length] as string}`, {
-      method: 'POST', headers: { authorization: 'Bearer secret', 'x-gullwall-request-id': `request-${this.ids}` }, body: 'a sheet'
+      method: 'POST', headers: { authorization: 'Bearer secret', 'x-gullwall-request-id': `request-${this.ids}` }, body: 'a body'
     })
     const text = await reply.body.text()
     return { at, status: reply.statusCode, retryAfterS: Number(reply.headers['retry-after']), why: reply.statusCode === 200 ? '' : text }
