--- a/entry/gateway/test/notices.test.ts
+++ b/entry/gateway/test/notices.test.ts
@@ -1,4 +1,4 @@
-/** What endpoints say of themselves in their answers, and what requests get while that holds. */
+/** Notices of endpoints in their response heads (Retry-After, draining), and how requests are handled while a notice applies. */
 import { type IncomingMessage, type ServerResponse } from 'node:http'
 import { setTimeout as sleep } from 'node:timers/promises'
 import { afterAll, afterEach, beforeAll, describe, expect, it, vi } from 'vitest'
@@ -17,22 +17,23 @@
   tookMs: number
 }
 
-/** A quarter of the target of the routes, in ms: so long a request waits for an endpoint. */
-const PATIENCE_MS = 100
-const SPREAD_MS = 1000
+/** Time for which a request waits for an endpoint: a quarter of the target of the routes, in ms. */
+const MAX_WAIT_MS = 100
+/** Time over which the retries of refused callers are spread, in ms. */
+const RETRY_SPREAD_MS = 1000
 
 const engines = ['i-a', 'i-b', 'i-c'].map((incarnation) => new StandIn(incarnation, 'app'))
 const [a, b, c] = engines as [StandIn, StandIn, StandIn]
 const deployment = new GatewayDeployment(engines)
 let ids = 0
 let starts = 0
-let isCutOff = false
+let isDisconnected = false
 
 async function send (path = '/look-up/1', gateway: Kernel<GatewayServices> = deployment.gateway, headers: Record<string, string> = {}): Promise<Reply> {
   const id = `request-${++ids}`
   const startedAt = performance.now()
   const reply = await request(`http://${gateway.get('ingress').address}${path}`, {
-    method: 'POST', headers: { authorization: 'Bearer secret', 'x-gullwall-request-id': id, ...headers }, body: 'a sheet'
+    method: 'POST', headers: { authorization: 'Bearer secret', 'x-gullwall-request-id': id, ...headers }, body: 'a body'
   })
   const text = await reply.body.text()
   return {
@@ -44,22 +45,22 @@
   { 'x-gullwall-request-id': String(incoming.headers['x-gullwall-request-id']), ...more }
 )
 
-/** Turns a request away and asks for rest. */
-const asksFor = (retryAfter: string): Behaviour => (incoming, response) => {
+/** Rejects a request and requests a backoff. */
+const rejectWith = (retryAfter: string): Behaviour => (incoming, response) => {
   response.writeHead(503, headOf(incoming, { 'x-gullwall-ran': 'no', 'retry-after': retryAfter }))
   response.end()
 }
 
 const backoffs = () => deployment.gateway.get('notices').backoffs
-const restMs = ({ incarnation }: StandIn) => backoffs().remainingMs(incarnation)
+const backoffMs = ({ incarnation }: StandIn) => backoffs().remainingMs(incarnation)
 
-/** Has endpoints ask for rest, as an answer to a request would. */
-function rest (ms: number, ...resting: StandIn[]): void {
-  for (const { incarnation } of resting) backoffs().note(incarnation, ms)
+/** Records a backoff that endpoints request, as a response with Retry-After does. */
+function backOff (ms: number, ...standIns: StandIn[]): void {
+  for (const { incarnation } of standIns) backoffs().note(incarnation, ms)
 }
 
-/** Gives the process at an address a new incarnation, of which nothing has been heard. */
-async function startAgain (standIn: StandIn): Promise<void> {
+/** Gives the process at an address a new incarnation without any notices. */
+async function restart (standIn: StandIn): Promise<void> {
   starts += 1
   Object.assign(standIn, { incarnation: `${standIn.incarnation.slice(0, 3)}-${starts}` })
   await deployment.register(standIn)
@@ -72,46 +73,46 @@
 })
 afterAll(async () => await deployment.stop())
 afterEach(async () => {
-  if (isCutOff) return
+  if (isDisconnected) return
   for (const engine of engines) {
     engine.behaviour = answerWell
-    await startAgain(engine)
+    await restart(engine)
   }
 })
 
-describe('while all endpoints rest, a request', () => {
-  it('whose patience ends sooner is refused at once, with the time of the first end, and truly has not run', async () => {
-    rest(5000, a, b)
-    rest(3000, c)
+describe('while all endpoints back off, a request', () => {
+  it('whose maximum wait ends before the first backoff is refused at once without running, with a delay until that backoff ends', async () => {
+    backOff(5000, a, b)
+    backOff(3000, c)
     const before = engines.reduce((sum, { arrived }) => sum + arrived.length, 0)
     for (const path of ['/look-up/1', '/order/1', '/draft/1', '/scan/1']) {
       const { status, retryAfterMs, text, tookMs, id } = await send(path)
       expect(status, path).toBe(503)
       expect(JSON.parse(text)).toMatchObject({ error: { ran: 'no' } })
-      expect(retryAfterMs).toBeGreaterThanOrEqual(restMs(c))
-      expect(retryAfterMs).toBeLessThanOrEqual(3000 + SPREAD_MS)
-      expect(tookMs).toBeLessThan(PATIENCE_MS)
+      expect(retryAfterMs).toBeGreaterThanOrEqual(backoffMs(c))
+      expect(retryAfterMs).toBeLessThanOrEqual(3000 + RETRY_SPREAD_MS)
+      expect(tookMs).toBeLessThan(MAX_WAIT_MS)
       expect(tellStory(deployment.lines.map((line) => JSON.parse(line) as LogLine), id).at(-1)).toMatchObject({ what: 'refuse' })
       expect(text).toContain('wants nothing for')
     }
     expect(engines.reduce((sum, { arrived }) => sum + arrived.length, 0)).toBe(before)
   })
 
-  it('whose patience lasts until the first end waits for it, and is served', async () => {
-    rest(5000, a, b)
-    rest(PATIENCE_MS / 2, c)
+  it('whose maximum wait ends after the first backoff waits for that endpoint, and is served', async () => {
+    backOff(5000, a, b)
+    backOff(MAX_WAIT_MS / 2, c)
     expect((await send()).status).toBe(200)
   })
 
-  it('is refused for as long as is left where its own attempt heard the word', async () => {
-    for (const engine of engines) engine.behaviour = asksFor('2')
+  it('is refused with the remaining backoff if its own attempts received the backoffs', async () => {
+    for (const engine of engines) engine.behaviour = rejectWith('2')
     const { status, retryAfterMs } = await send()
     expect(status).toBe(503)
     expect(retryAfterMs).toBeGreaterThan(1500)
-    expect(engines.filter((engine) => restMs(engine) > 0)).toHaveLength(3)
+    expect(engines.filter((engine) => backoffMs(engine) > 0)).toHaveLength(3)
   })
 
-  it('that has begun to be answered goes on with the first that comes back', async () => {
+  it('whose response has begun resumes at the first endpoint whose backoff ends', async () => {
     const text = (from: number, to: number) => Array.from({ length: to - from + 1 }, (_, place) => `id: ${from + place}\ndata: x\n\n`).join('')
     const stream: Behaviour = (incoming, response) => {
       const from = Number(incoming.headers['last-event-id'] ?? 0) + 1
@@ -121,27 +122,27 @@
         return
       }
       response.write(text(1, 2))
-      rest(600, a, b, c)
+      backOff(600, a, b, c)
       setTimeout(() => response.destroy(), 50)
     }
     for (const engine of engines) engine.behaviour = stream
-    const { status, text: got, tookMs } = await send('/draft/1')
-    expect({ status, got }).toEqual({ status: 200, got: text(1, 4) })
+    const { status, text: received, tookMs } = await send('/draft/1')
+    expect({ status, received }).toEqual({ status: 200, received: text(1, 4) })
     expect(tookMs).toBeGreaterThan(600)
   })
 })
 
-describe('when a rest ends', () => {
-  /** Holds every request until it is let go. */
-  function holding (standIn: StandIn): { open: () => number, letGo: () => void } {
-    const held: Array<() => void> = []
-    standIn.behaviour = (incoming, response, body) => { held.push(() => answerWell(incoming, response, body)) }
-    return { open: () => held.length, letGo: () => { for (const go of held.splice(0)) go() } }
+describe('when a backoff ends', () => {
+  /** Delays every response until `release` is called. */
+  function delayResponses (standIn: StandIn): { pendingCount: () => number, release: () => void } {
+    const pending: Array<() => void> = []
+    standIn.behaviour = (incoming, response, body) => { pending.push(() => answerWell(incoming, response, body)) }
+    return { pendingCount: () => pending.length, release: () => { for (const respond of pending.splice(0)) respond() } }
   }
 
-  it('one of those that wait goes first, by arrival, and the others after its answer', async () => {
-    rest(60_000, a, b)
-    rest(30, c)
+  it('one waiting request is sent first, by arrival, and the others after its response', async () => {
+    backOff(60_000, a, b)
+    backOff(30, c)
     const order: string[] = []
     c.behaviour = (incoming, response, body) => {
       order.push(incoming.url ?? '')
@@ -152,29 +153,29 @@
     expect(order).toEqual(['/look-up/1', '/look-up/2', '/look-up/3', '/look-up/4'])
   })
 
-  it('no more than one is under way before it has answered, however many have piled up', async () => {
-    rest(60_000, a, b)
-    rest(60, c)
-    const { open, letGo } = holding(c)
+  it('only one request is in flight before the first response, even if many wait', async () => {
+    backOff(60_000, a, b)
+    backOff(60, c)
+    const { pendingCount, release } = delayResponses(c)
     const sending = Array.from({ length: 12 }, async () => await send())
-    await until('the first try', () => open() === 1)
-    await sleep(2 * PATIENCE_MS)
-    expect(open()).toBe(1)
-    letGo()
+    await until('the first request', () => pendingCount() === 1)
+    await sleep(2 * MAX_WAIT_MS)
+    expect(pendingCount()).toBe(1)
+    release()
     const statuses = (await Promise.all(sending)).map(({ status }) => status).sort()
     expect(statuses).toEqual([200, ...Array.from({ length: 11 }, () => 503)])
   })
 })
 
-describe('the word of one endpoint', () => {
-  it('keeps back what was chosen before and waits for a connection', async () => {
-    rest(60_000, b, c)
+describe('a backoff that an endpoint requests', () => {
+  it('applies to requests that were assigned to the endpoint before and wait for a connection', async () => {
+    backOff(60_000, b, c)
     await deployment.configure(2, {}, { maxConnections: 2 })
-    await startAgain(a)
+    await restart(a)
     let arrivals = 0
     a.behaviour = (incoming, response, body) => {
       arrivals += 1
-      setTimeout(() => asksFor('3')(incoming, response, body), 50)
+      setTimeout(() => rejectWith('3')(incoming, response, body), 50)
     }
     const replies = await Promise.all(Array.from({ length: 4 }, async () => await send()))
     await deployment.configure(3)
@@ -183,16 +184,16 @@
   })
 
   it.each([['0', 0], ['0.4', 400], [' 2 ', 2000], ['7200', 7_200_000], ['soon', 0], ['-3', 0]])(
-    'may be the time %j', async (text, askedMs) => {
-      for (const engine of engines) engine.behaviour = asksFor(text)
+    'is read from the Retry-After value %j', async (text, requestedMs) => {
+      for (const engine of engines) engine.behaviour = rejectWith(text)
       const sentAt = performance.now()
       await send('/order/1')
-      const left = Math.max(...engines.map(restMs))
-      expect(left).toBeGreaterThanOrEqual(Math.max(0, askedMs - (performance.now() - sentAt)))
-      expect(left).toBeLessThanOrEqual(askedMs)
+      const remainingMs = Math.max(...engines.map(backoffMs))
+      expect(remainingMs).toBeGreaterThanOrEqual(Math.max(0, requestedMs - (performance.now() - sentAt)))
+      expect(remainingMs).toBeLessThanOrEqual(requestedMs)
     })
 
-  it('may be a date, by the endpoint\'s own clock', async () => {
+  it('may be a date by the clock of the endpoint', async () => {
     const behaviour: Behaviour = (incoming, response) => {
       response.writeHead(503, headOf(incoming, {
         'x-gullwall-ran': 'no', date: 'Thu, 03 Dec 2020 10:00:00 GMT', 'retry-after': 'Thu, 03 Dec 2020 10:00:07 GMT'
@@ -201,103 +202,103 @@
     }
     for (const engine of engines) engine.behaviour = behaviour
     await send()
-    expect(Math.max(...engines.map(restMs))).toBeGreaterThan(6000)
+    expect(Math.max(...engines.map(backoffMs))).toBeGreaterThan(6000)
   })
 
-  it('is heard in an answer that is passed on as a failure', async () => {
+  it('applies if the response is forwarded to the caller as a failure', async () => {
     const behaviour: Behaviour = (incoming, response) => {
       response.writeHead(503, headOf(incoming, { 'retry-after': '4' }))
       response.end('it ran and failed')
     }
     for (const engine of engines) engine.behaviour = behaviour
     expect(await send('/order/1')).toMatchObject({ status: 503, text: 'it ran and failed' })
-    expect(engines.filter((engine) => restMs(engine) > 3000)).toHaveLength(1)
+    expect(engines.filter((engine) => backoffMs(engine) > 3000)).toHaveLength(1)
   })
 
-  it('ends with its life', async () => {
-    const life = (born: number) => ({ incarnation: `e@${born}`, life: { name: 'e', born } })
-    const hear = async (born: number) => await deployment.control.get('registrar').hear({
-      ...life(born), service: 'app', address: c.address, dataCentre: 'dc1', slots: 4, state: 'ready', sequence: 1, ageMs: 0
+  it('ends with the incarnation', async () => {
+    const incarnationOf = (born: number) => ({ incarnation: `e@${born}`, life: { name: 'e', born } })
+    const sendHeartbeat = async (born: number) => await deployment.control.get('registrar').hear({
+      ...incarnationOf(born), service: 'app', address: c.address, dataCentre: 'dc1', slots: 4, state: 'ready', sequence: 1, ageMs: 0
     })
-    rest(60_000, a, b)
-    await hear(1000)
-    await until('the first life', () => deployment.gateway.get('view').takesWork('e@1000'))
-    c.behaviour = asksFor('60')
+    backOff(60_000, a, b)
+    await sendHeartbeat(1000)
+    await until('the first incarnation', () => deployment.gateway.get('view').takesWork('e@1000'))
+    c.behaviour = rejectWith('60')
     expect((await send()).status).toBe(503)
     expect(backoffs().remainingMs('e@1000')).toBeGreaterThan(50_000)
     c.behaviour = answerWell
-    await hear(2000)
-    await until('the second life', () => deployment.gateway.get('view').takesWork('e@2000'))
+    await sendHeartbeat(2000)
+    await until('the second incarnation', () => deployment.gateway.get('view').takesWork('e@2000'))
     expect((await send()).status).toBe(200)
   })
 
-  it('is not taken for that of another one whose address it has', async () => {
+  it('is not attributed to the addressed endpoint if another process at the address responds', async () => {
     const behaviour: Behaviour = (incoming, response) => {
       response.writeHead(421, headOf(incoming, { 'x-gullwall-draining': '1' }))
       response.end()
     }
     a.behaviour = behaviour
-    rest(60_000, b, c)
+    backOff(60_000, b, c)
     await send()
     expect(deployment.gateway.get('view').leases.get(a.incarnation)?.state).toBe('ready')
   })
 
-  it('names it no more as a source for copies of prompts', async () => {
+  it('excludes the endpoint as a source for copies of prompts', async () => {
     const prompt = { 'x-gullwall-prompt-parts': 'contract:9000,own:10' }
     await send('/look-up/1', deployment.gateway, prompt)
-    const keeper = engines.find(({ headers }) => headers.at(-1)?.['x-gullwall-prompt-parts'] !== undefined) ?? a
+    const holder = engines.find(({ headers }) => headers.at(-1)?.['x-gullwall-prompt-parts'] !== undefined) ?? a
     await sleep(800)
-    rest(60_000, keeper)
+    backOff(60_000, holder)
     const { id } = await send('/look-up/1', deployment.gateway, prompt)
-    const sent = engines.flatMap(({ headers }) => headers).find((headers) => headers['x-gullwall-request-id'] === id)
-    expect(sent).toBeDefined()
-    expect(sent?.['x-gullwall-prefix-source']).toBeUndefined()
+    const sentHeaders = engines.flatMap(({ headers }) => headers).find((headers) => headers['x-gullwall-request-id'] === id)
+    expect(sentHeaders).toBeDefined()
+    expect(sentHeaders?.['x-gullwall-prefix-source']).toBeUndefined()
   })
 })
 
 describe('an endpoint that drains', () => {
-  const drains = (how: (incoming: IncomingMessage, response: ServerResponse, body: string) => void): Behaviour => how
+  const draining = (behaviour: (incoming: IncomingMessage, response: ServerResponse, body: string) => void): Behaviour => behaviour
   const isUsable = (gateway: Kernel<GatewayServices>, { incarnation }: StandIn) => gateway.get('view').takesWork(incarnation)
 
   it.each([
-    ['a success', drains((incoming, response, body) => {
+    ['a success', draining((incoming, response, body) => {
       response.setHeader('x-gullwall-draining', '1')
       answerWell(incoming, response, body)
     })],
-    ['a failure', drains((incoming, response) => {
+    ['a failure', draining((incoming, response) => {
       response.writeHead(500, headOf(incoming, { 'x-gullwall-draining': '1' }))
       response.end()
     })],
-    ['a refusal', drains((incoming, response) => {
+    ['a refusal', draining((incoming, response) => {
       response.writeHead(503, headOf(incoming, { 'x-gullwall-draining': '1', 'x-gullwall-ran': 'no' }))
       response.end()
     })],
-    ['an answer to another request', drains((_incoming, response) => {
+    ['a response to another request', draining((_incoming, response) => {
       response.writeHead(200, { 'x-gullwall-draining': '1', 'x-gullwall-request-id': 'another' })
       response.end()
     })],
-    ['an interim answer', drains((incoming, response, body) => {
+    ['an interim response', draining((incoming, response, body) => {
       response.writeEarlyHints({ link: '</x>', 'x-gullwall-draining': '1' })
       answerWell(incoming, response, body)
     })],
-    ['an answer that breaks off', drains((incoming, response) => {
+    ['an incomplete response', draining((incoming, response) => {
       response.writeHead(200, headOf(incoming, { 'x-gullwall-draining': '1', 'content-length': '100' }))
       response.write('a part')
       setTimeout(() => response.destroy(), 20)
     })]
-  ])('says so in %s: it gets nothing more from any gateway', async (_kind, behaviour) => {
+  ])('and announces this in %s receives no more requests from any gateway', async (_kind, behaviour) => {
     const other = await deployment.startGateway('b2')
-    rest(60_000, b, c)
+    backOff(60_000, b, c)
     a.behaviour = behaviour
     await send('/order/1')
     expect(isUsable(deployment.gateway, a)).toBe(false)
-    await until('the other gateway hears of it', () => !isUsable(other, a))
+    await until('the other gateway to know', () => !isUsable(other, a))
     await other.stop()
   })
 
-  it('is told of again to a control process that takes it to be ready', async () => {
+  it('is reported again to a control process that lists the endpoint as ready', async () => {
     const { control, gateway } = deployment
-    // The word was lost with a link; the next word of control shows that.
+    // The first report is lost with a link. The next leases that control sends show that it is missing.
     vi.spyOn(gateway.get('controlLinks'), 'tellDraining').mockImplementationOnce(() => {})
     const { incarnation, service, address, dataCentre } = a
     const description = { incarnation, service, address, dataCentre, slots: 4 }
@@ -305,20 +306,20 @@
     const lease = control.get('leases').get(incarnation)
     expect(lease?.state).toBe('ready')
     if (lease !== undefined) control.get('registrar').changed([lease])
-    await until('control has heard', () => control.get('leases').get(incarnation)?.state === 'draining')
+    await until('control to know', () => control.get('leases').get(incarnation)?.state === 'draining')
   })
 })
 
-describe('a gateway that is cut off from control', () => {
-  it('hears both words all the same', async () => {
-    isCutOff = true
+describe('a gateway that is disconnected from control', () => {
+  it('still applies draining notices and backoffs', async () => {
+    isDisconnected = true
     await deployment.control.stop()
-    rest(60_000, c)
+    backOff(60_000, c)
     a.behaviour = (incoming, response, body) => {
       response.setHeader('x-gullwall-draining', '1')
       answerWell(incoming, response, body)
     }
-    b.behaviour = asksFor('30')
+    b.behaviour = rejectWith('30')
     for (let index = 0; index < 20; index += 1) await send()
     expect([a, b].map(({ arrived }) => arrived.filter((id) => Number(id.split('-')[1]) > ids - 20).length)).toEqual([1, 1])
     const metrics = await deployment.gateway.get('registry').metrics()
--- a/entry/gateway/test/resumed-after-rest.test.ts
+++ b/entry/gateway/test/resumed-after-rest.test.ts
@@ -1,13 +1,13 @@
-/** Streams that have begun to be answered, and whose engines all rest when they break off. */
+/** Guards the resumption of interrupted streams while all other engines back off. */
 import { type ServerResponse } from 'node:http'
 import { afterAll, beforeAll, expect, it } from 'vitest'
 import { request } from 'undici'
 import { until } from '@gullwall/bench.deployment'
 import { GatewayDeployment, StandIn, type Behaviour } from './stand-in.ts'
 
-const REST_MS = 500
-/** A stream that goes on is answered after so long, in ms; slow start lets the others come then. */
-const ANSWERS_AFTER_MS = 150
+const BACKOFF_MS = 500
+/** Delay of the response to a resumed stream, in ms; slow start admits the next stream only after that response. */
+const RESPONSE_DELAY_MS = 150
 const STREAMS = 3
 
 const first = new StandIn('i-first', 'app')
@@ -16,15 +16,15 @@
 
 const text = (from: number, to: number) => Array.from({ length: to - from + 1 }, (_, place) => `id: ${from + place}\ndata: x\n\n`).join('')
 
-function begin (response: ServerResponse, id: unknown): void {
+function beginStream (response: ServerResponse, id: unknown): void {
   response.writeHead(200, { 'x-gullwall-request-id': String(id), 'content-type': 'text/event-stream' })
 }
 
 async function send (id: string): Promise<{ status: number, text: string }> {
   const reply = await request(deployment.url('/draft/1'), {
-    method: 'POST', headers: { authorization: 'Bearer secret', 'x-gullwall-request-id': id }, body: 'a sheet'
+    method: 'POST', headers: { authorization: 'Bearer secret', 'x-gullwall-request-id': id }, body: 'a body'
   })
-  return { status: reply.statusCode, text: await reply.body.text().catch(() => 'broken off') }
+  return { status: reply.statusCode, text: await reply.body.text().catch(() => 'incomplete') }
 }
 
 beforeAll(async () => {
@@ -34,24 +34,24 @@
 })
 afterAll(async () => await deployment.stop())
 
-it('go on one after the other once the first of them comes back', async () => {
+it('interrupted streams resume one after the other when the backoff of an engine ends', async () => {
   const begun: ServerResponse[] = []
-  const starts: Behaviour = (incoming, response) => {
-    begin(response, incoming.headers['x-gullwall-request-id'])
+  const beginOnly: Behaviour = (incoming, response) => {
+    beginStream(response, incoming.headers['x-gullwall-request-id'])
     response.write(text(1, 2))
     begun.push(response)
   }
-  first.behaviour = starts
+  first.behaviour = beginOnly
   second.behaviour = (incoming, response) => {
     setTimeout(() => {
-      begin(response, incoming.headers['x-gullwall-request-id'])
+      beginStream(response, incoming.headers['x-gullwall-request-id'])
       response.end(text(3, 4))
-    }, ANSWERS_AFTER_MS)
+    }, RESPONSE_DELAY_MS)
   }
   const sending = Array.from({ length: STREAMS }, async (_, index) => await send(`request-${index}`))
-  await until('all have begun', () => begun.length === STREAMS)
+  await until('all streams', () => begun.length === STREAMS)
   await deployment.register(second)
-  deployment.gateway.get('notices').backoffs.note(second.incarnation, REST_MS)
+  deployment.gateway.get('notices').backoffs.note(second.incarnation, BACKOFF_MS)
   for (const response of begun) response.destroy()
   expect(await Promise.all(sending)).toEqual(Array.from({ length: STREAMS }, () => ({ status: 200, text: text(1, 4) })))
 })
