--- a/entry/gateway/src/answer-receiver.ts
+++ b/entry/gateway/src/answer-receiver.ts
@@ -12,7 +12,7 @@
   | { type: 'answered' }
   /** The endpoint certainly did not run the request. */
   | { type: 'not-run', why: string, verdict: AttemptVerdict }
-  /** No byte was written, because no connection was established. `isRefused`: nothing listens at the address of the endpoint. */
+  /** No byte was written, because no connection was established in time. `isRefused`: nothing listens at the address of the endpoint. */
   | { type: 'unsent', why: string, isRefused?: boolean }
   /** The request was no longer allowed at the endpoint when a connection became available. */
   | { type: 'withheld', why: string }
--- a/entry/gateway/src/grant-asker.ts
+++ b/entry/gateway/src/grant-asker.ts
@@ -21,7 +21,7 @@
 const IDLE_SPACING_MS = 25
 /** Grants that are requested in addition to the recent demand, since arrivals are uneven. */
 const HEADROOM = 1
-/** Share of the demand from which the available grants suffice; below it a box requests all that it lacks in one message. */
+/** Share of the demand above which the available grants suffice; otherwise a box requests all that it lacks in one message. */
 const SUFFICIENT_SHARE = 0.5
 /** Maximum number of requests for one endpoint in a message; control grants no more at once. */
 const MAX_REQUESTS = 5
--- a/entry/gateway/test/crashing-engines.ts
+++ b/entry/gateway/test/crashing-engines.ts
@@ -11,7 +11,7 @@
 export interface CrashingOptions {
   /** Whether a request with this body crashes the process that runs it. */
   crashes: (body: string) => boolean
-  /** Time after which a request is answered, or crashes its engine, in ms. */
+  /** Time after which a request receives its response, or crashes its engine, in ms. */
   runsForMs?: number
 }
 
--- a/entry/gateway/test/notices.test.ts
+++ b/entry/gateway/test/notices.test.ts
@@ -113,7 +113,7 @@
   })
 
   it('whose response has begun resumes at the first endpoint whose backoff ends', async () => {
-    const text = (from: number, to: number) => Array.from({ length: to - from + 1 }, (_, place) => `id: ${from + place}\ndata: x\n\n`).join('')
+    const text = (from: number, to: number) => Array.from({ length: to - from + 1 }, (_, index) => `id: ${from + index}\ndata: x\n\n`).join('')
     const stream: Behaviour = (incoming, response) => {
       const from = Number(incoming.headers['last-event-id'] ?? 0) + 1
       response.writeHead(200, headOf(incoming, { 'content-type': 'text/event-stream' }))
--- a/entry/gateway/test/resumed-after-rest.test.ts
+++ b/entry/gateway/test/resumed-after-rest.test.ts
@@ -14,7 +14,7 @@
 const second = new StandIn('i-second', 'app')
 const deployment = new GatewayDeployment([first, second])
 
-const text = (from: number, to: number) => Array.from({ length: to - from + 1 }, (_, place) => `id: ${from + place}\ndata: x\n\n`).join('')
+const text = (from: number, to: number) => Array.from({ length: to - from + 1 }, (_, index) => `id: ${from + index}\ndata: x\n\n`).join('')
 
 function beginStream (response: ServerResponse, id: unknown): void {
   response.writeHead(200, { 'x-gullwall-request-id': String(id), 'content-type': 'text/event-stream' })
