--- a/entry/gateway/src/answer-receiver.ts
+++ b/entry/gateway/src/attempt-response-receiver.ts
@@ -1,25 +1,25 @@
 /** Receives the response to one attempt and forwards its complete parts to the caller. */
-import { type AttemptVerdict, type Candidate, type Work } from '@gullwall/routing.balancer'
-import { type Permit } from '@gullwall/routing.backoff'
+import { type AttemptVerdict, type Candidate, type InFlightRequest } from '@gullwall/routing.balancer'
+import { type BackoffPermit } from '@gullwall/routing.backoff'
 import { type AnswerHead } from './dialect.ts'
-import { EventCutter } from './events.ts'
-import { type ExchangeEnd, type ExchangeHead, type ExchangeListener } from './exchange.ts'
-import { type Forwarding } from './forward.ts'
+import { EventSplitter } from './event-splitter.ts'
+import { type ExchangeOutcome, type ExchangeHead, type ExchangeListener } from './exchange.ts'
+import { type RequestForwarder } from './request-forwarder.ts'
 
 /** How one attempt ended. */
-export type AttemptEnd =
+export type AttemptOutcome =
   /** The caller has received the complete response. */
   | { type: 'answered' }
   /** The endpoint certainly did not run the request. */
-  | { type: 'not-run', why: string, verdict: AttemptVerdict }
+  | { type: 'not-run', reason: string, verdict: AttemptVerdict }
   /** No byte was written, because no connection was established in time. `isRefused`: nothing listens at the address of the endpoint. */
-  | { type: 'unsent', why: string, isRefused?: boolean }
+  | { type: 'unsent', reason: string, isRefused?: boolean }
   /** The request was no longer allowed at the endpoint when a connection became available. */
-  | { type: 'withheld', why: string }
+  | { type: 'withheld', reason: string }
   /** The endpoint ran the request and responded with a failure. */
   | { type: 'failed', head: ExchangeHead, body: Buffer }
   /** The endpoint may have run the request. `isClosed`: the endpoint or the network closed the connection. */
-  | { type: 'broken', why: string, isClosed: boolean }
+  | { type: 'broken', reason: string, isClosed: boolean }
   | { type: 'cancelled' }
 
 const MAX_BODY_BYTES = 32 * 1024 * 1024
@@ -29,20 +29,20 @@
 /** Another process than the addressed endpoint responds with this status. */
 const MISDIRECTED_REQUEST_STATUS = 421
 
-export class AnswerReceiver implements ExchangeListener {
+export class AttemptResponseReceiver implements ExchangeListener {
   /** Bytes of the response body that have been received. */
   receivedBytes = 0
   private head: ExchangeHead | undefined
-  private readonly cutter = new EventCutter()
+  private readonly splitter = new EventSplitter()
   private readonly chunks: Buffer[] = []
   private bodyBytes = 0
   private isNotRun = false
 
   constructor (
-    private readonly forwarding: Forwarding,
-    private readonly work: Work,
+    private readonly forwarder: RequestForwarder,
+    private readonly inFlightRequest: InFlightRequest,
     private readonly candidate: Candidate,
-    private readonly permit: Permit
+    private readonly permit: BackoffPermit
   ) {}
 
   onInterim (head: ExchangeHead): void {
@@ -50,30 +50,30 @@
   }
 
   onHead (head: ExchangeHead): boolean {
-    const { call } = this.forwarding.facts
-    const { requestId, isSigned, isNotRun } = this.readHead(head)
+    const { call } = this.forwarder.context
+    const { requestId, isFromService, isNotRun } = this.readHead(head)
     this.head = head
     this.isNotRun = isNotRun || head.status === MISDIRECTED_REQUEST_STATUS
     if (this.isNotRun) return true
-    this.permit.answered()
-    return requestId === call.requestId && isSigned && head.headers['content-encoding'] === undefined
+    this.permit.recordResponse()
+    return requestId === call.requestId && isFromService && head.headers['content-encoding'] === undefined
   }
 
   /** Applies the notices of any response head: they describe the endpoint, even if the response belongs to another request. */
   private readHead ({ status, headers, sentAt }: ExchangeHead): AnswerHead {
-    const { services } = this.forwarding.facts
+    const { services } = this.forwarder.context
     const { endpoint } = this.candidate
-    endpoint.heardAt = performance.now()
+    endpoint.lastReceivedAt = performance.now()
     const head = services.dialect.readAnswer(status, headers)
-    services.notices.take(endpoint.description, { status, sentAt, notices: head.notices })
+    services.notices.apply(endpoint.description, { status, sentAt, notices: head.notices })
     return head
   }
 
   onData (chunk: Buffer): void {
     this.receivedBytes += chunk.length
-    this.candidate.endpoint.heardAt = performance.now()
+    this.candidate.endpoint.lastReceivedAt = performance.now()
     if (this.isStream) {
-      this.passEvents(chunk)
+      this.forwardEvents(chunk)
       return
     }
     this.bodyBytes += chunk.length
@@ -81,60 +81,60 @@
   }
 
   /** Returns the outcome of the attempt, and ends the caller's response if it is complete. */
-  endOf (end: ExchangeEnd): AttemptEnd {
+  finish (end: ExchangeOutcome): AttemptOutcome {
     const { head } = this
     if (end.type === 'cancelled') return { type: 'cancelled' }
     if (end.type === 'unsent' || end.type === 'withheld') return end
     if (this.isNotRun && head !== undefined) {
       return {
         type: 'not-run',
-        why: `the endpoint responded ${head.status} without running the request`,
+        reason: `the endpoint responded ${head.status} without running the request`,
         verdict: head.status === MISDIRECTED_REQUEST_STATUS ? 'ended' : 'shed'
       }
     }
-    if (end.type === 'broken' || head === undefined) return end.type === 'broken' ? end : { type: 'broken', why: 'no response head', isClosed: false }
+    if (end.type === 'broken' || head === undefined) return end.type === 'broken' ? end : { type: 'broken', reason: 'no response head', isClosed: false }
     if (head.status >= MIN_SERVER_ERROR_STATUS) return { type: 'failed', head, body: Buffer.concat(this.chunks) }
     return this.complete(head)
   }
 
-  private complete (head: ExchangeHead): AttemptEnd {
-    const { answer } = this.forwarding.facts
+  private complete (head: ExchangeHead): AttemptOutcome {
+    const { answer } = this.forwarder.context
     if (this.isStream) {
-      this.begin(head)
-      this.forwarding.noteAnswered()
-      answer.endStream(this.cutter.remainder())
+      this.sendHead(head)
+      this.forwarder.recordAnswered()
+      answer.endStream(this.splitter.remainder())
     } else {
-      if (this.bodyBytes > MAX_BODY_BYTES) return { type: 'broken', why: 'the response is too large', isClosed: false }
-      this.forwarding.noteAnswered()
-      answer.whole(head.status, head.headers, Buffer.concat(this.chunks))
+      if (this.bodyBytes > MAX_BODY_BYTES) return { type: 'broken', reason: 'the response is too large', isClosed: false }
+      this.forwarder.recordAnswered()
+      answer.sendComplete(head.status, head.headers, Buffer.concat(this.chunks))
     }
     return { type: 'answered' }
   }
 
   private get isStream (): boolean {
     const status = this.head?.status ?? 0
-    return this.forwarding.facts.call.route.kind === 'stream' && status >= MIN_SUCCESS_STATUS && status < MIN_REDIRECT_STATUS
+    return this.forwarder.context.call.route.kind === 'stream' && status >= MIN_SUCCESS_STATUS && status < MIN_REDIRECT_STATUS
   }
 
-  private passEvents (chunk: Buffer): void {
-    const events = this.cutter.take(chunk)
+  private forwardEvents (chunk: Buffer): void {
+    const events = this.splitter.push(chunk)
     if (events === undefined || this.head === undefined) return
-    const { answer } = this.forwarding.facts
-    this.candidate.endpoint.noteEvents(this.work, performance.now())
-    this.begin(this.head)
-    this.forwarding.noteEvents(events.lastId)
-    if (!answer.events(events.bytes)) this.forwarding.holdUntilDrained()
+    const { answer } = this.forwarder.context
+    this.candidate.endpoint.recordEvents(this.inFlightRequest, performance.now())
+    this.sendHead(this.head)
+    this.forwarder.recordEvents(events.lastId)
+    if (!answer.writeEvents(events.bytes)) this.forwarder.pauseUntilDrained()
   }
 
   /** Sends the head of the first attempt of a stream; attempts that resume the stream continue under this head. */
-  private begin (head: ExchangeHead): void {
-    const { answer } = this.forwarding.facts
+  private sendHead (head: ExchangeHead): void {
+    const { answer } = this.forwarder.context
     if (!answer.hasBegun) answer.beginStream(head.status, head.headers)
   }
 }
 
 /** Returns what the outcome of an attempt says about the health of its endpoint. */
-export function verdictOf (end: AttemptEnd): AttemptVerdict {
+export function verdictOf (end: AttemptOutcome): AttemptVerdict {
   switch (end.type) {
     case 'answered': return 'good'
     case 'not-run': return end.verdict
@@ -147,6 +147,6 @@
 }
 
 /** Whether the endpoint ran the request at least in part, or may have run it. */
-export function hasRun (end: AttemptEnd): boolean {
+export function hasRun (end: AttemptOutcome): boolean {
   return end.type === 'answered' || end.type === 'failed' || end.type === 'broken'
 }
--- a/entry/gateway/src/call.ts
+++ b/entry/gateway/src/call.ts
@@ -2,7 +2,7 @@
 import { type IncomingMessage } from 'node:http'
 import { suspensions } from '@gullwall/core.clock'
 import { type OrganisationDescription, type Route, type RouteTable } from '@gullwall/config.document'
-import { fingerprintOf } from '@gullwall/routing.quarantine'
+import { computeFingerprint } from '@gullwall/routing.quarantine'
 import { regionLimitsOf, type RegionLimits } from './allowed-regions.ts'
 import { type CallDialect, type CallHead } from './dialect.ts'
 
@@ -22,7 +22,7 @@
   /** When the request times out, by the monotonic clock; `remainingMs` subtracts the time for which the box was suspended since arrival. */
   deadline: number
   /** Total time for which the box had been suspended when the request arrived, in ms. */
-  sleptMs: number
+  suspendedMs: number
   documentVersion: number
   /** Identifies the same request under other ids; computed from method, path, organisation and body on the first call. */
   fingerprint: () => string
@@ -66,15 +66,15 @@
     tier: organisation?.tier ?? route.tier,
     arrivedAt,
     deadline: arrivedAt + Math.min(head.waitMs ?? Infinity, route.timeoutMs),
-    sleptMs: suspensions.slept(),
+    suspendedMs: suspensions.suspendedMs(),
     documentVersion: table.version,
-    fingerprint: memoise(() => fingerprintOf({ organisation: organisation?.name, method, path, body }))
+    fingerprint: memoise(() => computeFingerprint({ organisation: organisation?.name, method, path, body }))
   }
 }
 
 /** Returns the remaining time of a request, in ms. Time for which the box was suspended since arrival counts as elapsed. */
-export function remainingMs ({ deadline, sleptMs }: Pick<Call, 'deadline' | 'sleptMs'>, slept = suspensions.slept()): number {
-  return deadline - performance.now() - (slept - sleptMs)
+export function remainingMs ({ deadline, suspendedMs }: Pick<Call, 'deadline' | 'suspendedMs'>, slept = suspensions.suspendedMs()): number {
+  return deadline - performance.now() - (slept - suspendedMs)
 }
 
 /** Whether a request may run more than once. */
--- a/entry/gateway/src/eligibility.ts
+++ b/entry/gateway/src/eligibility.ts
@@ -6,25 +6,25 @@
 import { type Call } from './call.ts'
 
 /** Returns why a request may not be sent to a data centre; undefined if it may. */
-export type PlaceRule = (dataCentre: string, call: Call) => string | undefined
+export type DataCentreRule = (dataCentre: string, call: Call) => string | undefined
 
 /** Returns why a request may not be sent to an endpoint now; undefined if it may. */
 export type EndpointRule = (endpoint: EndpointState, call: Call) => string | undefined
 
 /** The rules in force, in the order of evaluation. */
 export interface EligibilityRules {
-  places: readonly PlaceRule[]
+  dataCentres: readonly DataCentreRule[]
   endpoints: readonly EndpointRule[]
 }
 
 /** Returns why a request may not be sent to an endpoint, by the rules for data centres and endpoints; undefined if it may. */
-export function whyNotEligible (rules: EligibilityRules, endpoint: EndpointState, call: Call): string | undefined {
-  return whyNotPlace(rules, endpoint.description.dataCentre, call) ?? whyNotEndpoint(rules, endpoint, call)
+export function findRefusalReason (rules: EligibilityRules, endpoint: EndpointState, call: Call): string | undefined {
+  return findDataCentreRefusalReason(rules, endpoint.description.dataCentre, call) ?? findEndpointRefusalReason(rules, endpoint, call)
 }
 
 /** Returns why a request may not be sent to a data centre; undefined if it may be. */
-export function whyNotPlace ({ places }: EligibilityRules, dataCentre: string, call: Call): string | undefined {
-  for (const rule of places) {
+export function findDataCentreRefusalReason ({ dataCentres }: EligibilityRules, dataCentre: string, call: Call): string | undefined {
+  for (const rule of dataCentres) {
     const why = rule(dataCentre, call)
     if (why !== undefined) return why
   }
@@ -32,7 +32,7 @@
 }
 
 /** Returns why a request may not be sent to an endpoint of an allowed data centre; undefined if it may. */
-export function whyNotEndpoint ({ endpoints }: EligibilityRules, endpoint: EndpointState, call: Call): string | undefined {
+export function findEndpointRefusalReason ({ endpoints }: EligibilityRules, endpoint: EndpointState, call: Call): string | undefined {
   for (const rule of endpoints) {
     const why = rule(endpoint, call)
     if (why !== undefined) return why
--- a/entry/gateway/src/patience.ts
+++ b/entry/gateway/src/endpoint-wait.ts
@@ -15,21 +15,21 @@
 /** Lead of a waiting request over requests of the next lower tier, in ms. A finite lead ensures that no tier starves. */
 const TIER_HEAD_START_MS = 200
 
-export interface PatienceOptions {
+export interface EndpointWaitOptions {
   call: Pick<Call, 'arrivedAt' | 'deadline' | 'route'>
   /** When a request that may have run, and has untried endpoints, began to wait; undefined for a request that can still be refused. */
   resumedAt: number | undefined
   /** Time until the first endpoint accepts requests again, in ms; 0 if one accepts requests now. */
-  restMs: number
+  availabilityDelayMs: number
   now: number
 }
 
 /** Returns until when a request waits, by the monotonic clock; `now` if no endpoint will accept the request within its maximum wait. */
-export function waitsUntil ({ call, resumedAt, restMs, now }: PatienceOptions): number {
+export function findWaitDeadline ({ call, resumedAt, availabilityDelayMs, now }: EndpointWaitOptions): number {
   const { arrivedAt, deadline, route } = call
   const waitDeadline = Math.min(deadline, (resumedAt ?? arrivedAt) + WAIT_SHARE_OF_TARGET * route.targetMs)
-  const availableAt = now + restMs
-  if (restMs <= 0 || availableAt <= waitDeadline) return waitDeadline
+  const availableAt = now + availabilityDelayMs
+  if (availabilityDelayMs <= 0 || availableAt <= waitDeadline) return waitDeadline
   if (resumedAt === undefined) return now
   const resumeDeadline = Math.min(deadline, resumedAt + MAX_RESUME_WAIT_MS)
   // Waits beyond `availableAt`, since slow start may delay the request further.
@@ -40,7 +40,7 @@
  * Returns the retry delay for a refused caller, in ms. Callers retry after the endpoints accept requests again, spread over time with
  * the more urgent tiers first.
  */
-export function returnAfterMs (availabilityDelayMs: number, tier: number, random: () => number = Math.random): number {
+export function chooseRetryAfterMs (availabilityDelayMs: number, tier: number, random: () => number = Math.random): number {
   const slot = Math.min(tier, RETRY_TIERS - 1)
   return availabilityDelayMs + RETRY_SPREAD_MS * (slot + random()) / RETRY_TIERS
 }
--- a/entry/gateway/src/events.ts
+++ b/entry/gateway/src/event-splitter.ts
@@ -5,16 +5,16 @@
 const ID_LINE = /^id: ?(.*)$/m
 
 /** Complete events, and the id of the last one. */
-export interface WholeEvents {
+export interface CompleteEvents {
   bytes: Buffer
   lastId: string | undefined
 }
 
-export class EventCutter {
+export class EventSplitter {
   private incomplete: Buffer = Buffer.alloc(0)
 
   /** Adds bytes and returns the events that are now complete; undefined if none is. */
-  take (chunk: Buffer): WholeEvents | undefined {
+  push (chunk: Buffer): CompleteEvents | undefined {
     const bytes = this.incomplete.length === 0 ? chunk : Buffer.concat([this.incomplete, chunk])
     const end = endOfLastEvent(bytes)
     this.incomplete = bytes.subarray(end)
--- a/entry/gateway/src/exchange.ts
+++ b/entry/gateway/src/exchange.ts
@@ -19,9 +19,9 @@
   /** Timeout for a connection, in ms. */
   connectMs: number
   /** Called right before the first byte is written, after any wait for a connection. Returns why the request may no longer be sent. */
-  whyNot: () => string | undefined
+  findRefusalReason: () => string | undefined
   /** Whether the connection that is ending now was closed and not reset. */
-  wasClosedWell: () => Promise<boolean>
+  wasClosedCleanly: () => Promise<boolean>
 }
 
 /** Receives the parts of the response in order. */
@@ -38,11 +38,11 @@
  * listens at the address. `withheld`: no byte was written, because the request was no longer allowed. `broken`: the request may have
  * run; `isClosed` says that the connection was not closed by this process.
  */
-export type ExchangeEnd =
+export type ExchangeOutcome =
   | { type: 'complete' }
-  | { type: 'unsent', why: string, isRefused?: boolean }
-  | { type: 'withheld', why: string }
-  | { type: 'broken', why: string, isClosed: boolean }
+  | { type: 'unsent', reason: string, isRefused?: boolean }
+  | { type: 'withheld', reason: string }
+  | { type: 'broken', reason: string, isClosed: boolean }
   | { type: 'cancelled' }
 
 /** The lowest status of a final response; lower ones are interim. */
@@ -54,8 +54,8 @@
   'onRequestStart' | 'onResponseStart' | 'onResponseData' | 'onResponseEnd' | 'onResponseError'>>
 
 export class Exchange {
-  readonly ended: Promise<ExchangeEnd>
-  private settle!: (end: ExchangeEnd) => void
+  readonly outcome: Promise<ExchangeOutcome>
+  private settle!: (end: ExchangeOutcome) => void
   private controller: Dispatcher.DispatchController | undefined
   private isOver = false
   private isFramed = true
@@ -63,15 +63,15 @@
   private sentAt = -Infinity
 
   constructor (dispatcher: Dispatcher, origin: string, request: ExchangeRequest, private readonly listener: ExchangeListener) {
-    this.ended = new Promise((resolve) => { this.settle = resolve })
-    this.connectTimer = setTimeout(() => this.end({ type: 'unsent', why: `no connection within ${request.connectMs} ms` }), request.connectMs)
+    this.outcome = new Promise((resolve) => { this.settle = resolve })
+    this.connectTimer = setTimeout(() => this.end({ type: 'unsent', reason: `no connection within ${request.connectMs} ms` }), request.connectMs)
     const { method, path, headers, body } = request
     try {
       dispatcher.dispatch({
         origin, method: method as Dispatcher.HttpMethod, path, headers, body: body ?? null, headersTimeout: 0, bodyTimeout: 0, reset: false
       }, this.handler(request, performance.now() + request.connectMs))
     } catch (error) {
-      this.end({ type: 'unsent', why: messageOf(error) })
+      this.end({ type: 'unsent', reason: messageOf(error) })
     }
   }
 
@@ -86,8 +86,8 @@
   }
 
   /** Ends the exchange, so that another attempt can be made. */
-  giveUp (why: string): void {
-    this.end(this.isSent ? { type: 'broken', why, isClosed: false } : { type: 'unsent', why })
+  abandon (why: string): void {
+    this.end(this.isSent ? { type: 'broken', reason: why, isClosed: false } : { type: 'unsent', reason: why })
   }
 
   pause (): void {
@@ -100,10 +100,10 @@
 
   /** Ends a response without a length, which is complete only if its connection was closed and not reset. */
   private async endUnframed (wasClosedCleanly: Promise<boolean>): Promise<void> {
-    this.end(await wasClosedCleanly ? { type: 'complete' } : { type: 'broken', why: 'the connection was reset', isClosed: true })
+    this.end(await wasClosedCleanly ? { type: 'complete' } : { type: 'broken', reason: 'the connection was reset', isClosed: true })
   }
 
-  private end (end: ExchangeEnd): void {
+  private end (end: ExchangeOutcome): void {
     if (this.isOver) return
     this.isOver = true
     clearTimeout(this.connectTimer)
@@ -111,23 +111,23 @@
     this.settle(end)
   }
 
-  private handler ({ wasClosedWell, whyNot }: ExchangeRequest, connectBy: number): Handler {
+  private handler ({ wasClosedCleanly, findRefusalReason }: ExchangeRequest, connectBy: number): Handler {
     return {
       onRequestStart: (controller) => {
         // A process that was suspended may handle the connection before the timer; its permit to send has expired by then.
-        if (performance.now() > connectBy) this.end({ type: 'unsent', why: 'the connection was established too late' })
+        if (performance.now() > connectBy) this.end({ type: 'unsent', reason: 'the connection was established too late' })
         if (this.isOver) {
           // No byte has been written yet; aborting here ensures that none will be.
           controller.abort(new Error('the exchange ended before the request was sent'))
           return
         }
         clearTimeout(this.connectTimer)
-        const why = whyNot()
+        const why = findRefusalReason()
         if (why === undefined) {
           this.controller = controller
           this.sentAt = performance.now()
         } else {
-          this.end({ type: 'withheld', why })
+          this.end({ type: 'withheld', reason: why })
           controller.abort(new Error(why))
         }
       },
@@ -136,18 +136,18 @@
         if (this.isOver || status < MIN_FINAL_STATUS) return
         this.isFramed = headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined || NO_BODY_STATUSES.has(status)
         if (this.listener.onHead({ status, headers, sentAt: this.sentAt })) return
-        this.end({ type: 'broken', why: 'the response head does not match the request', isClosed: false })
+        this.end({ type: 'broken', reason: 'the response head does not match the request', isClosed: false })
       },
       onResponseData: (_controller, chunk) => {
         if (!this.isOver) this.listener.onData(chunk)
       },
       onResponseEnd: () => {
         if (this.isFramed) this.end({ type: 'complete' })
-        else void this.endUnframed(wasClosedWell())
+        else void this.endUnframed(wasClosedCleanly())
       },
       onResponseError: (_controller, error) => {
         const why = messageOf(error)
-        this.end(this.isSent ? { type: 'broken', why, isClosed: true } : { type: 'unsent', why, isRefused: isRefusal(error) })
+        this.end(this.isSent ? { type: 'broken', reason: why, isClosed: true } : { type: 'unsent', reason: why, isRefused: isRefusal(error) })
       }
     }
   }
--- a/entry/gateway/src/grant-asker.ts
+++ b/entry/gateway/src/grant-requester.ts
@@ -5,9 +5,9 @@
  */
 import { messageOf } from '@gullwall/core.error'
 import { type Logger } from '@gullwall/core.logger'
-import { rankOf } from '@gullwall/routing.balancer'
-import { type Grant, type GrantWish } from '@gullwall/transport.messages'
-import { type GrantPurse } from './grant-purse.ts'
+import { hashName } from '@gullwall/routing.balancer'
+import { type Grant, type GrantRequest } from '@gullwall/transport.messages'
+import { type GrantPool } from './grant-pool.ts'
 
 /** Validity of a grant, and the window in which arrivals are counted to estimate the demand, in ms. */
 const WINDOW_MS = 500
@@ -29,21 +29,21 @@
 const MAX_ENDPOINTS = 32
 
 /** Returns the time between two messages of one box, in ms, so that all boxes together do not exceed the rate that control handles. */
-export function askSpacingMs (boxes: number): number {
+export function grantRequestSpacingMs (boxes: number): number {
   return 1000 * boxes / MAX_MESSAGES_PER_SECOND
 }
 
-export interface GrantAskerOptions {
+export interface GrantRequesterOptions {
   box: string
   logger: Logger
-  ask: (wishes: GrantWish[]) => Promise<Grant[]>
+  requestGrants: (wishes: GrantRequest[]) => Promise<Grant[]>
   wake: () => void
   now: () => number
-  purse: GrantPurse
+  grantPool: GrantPool
   /** Number of boxes that request grants. */
-  entries: () => number
+  entryCount: () => number
   /** The limit that an endpoint advertises, in requests a second; undefined if it has none. */
-  namedLimitOf?: ((incarnation: string) => number | undefined) | undefined
+  advertisedLimitOf?: ((incarnation: string) => number | undefined) | undefined
 }
 
 /** An endpoint that needs a grant. */
@@ -58,9 +58,9 @@
   wantedAt: number
 }
 
-export class GrantAsker {
+export class GrantRequester {
   /** Messages since the start, and those without a response. */
-  readonly totals = { asks: 0, failed: 0 }
+  readonly totals = { requests: 0, failed: 0 }
   private readonly wanted = new Map<string, WantedEndpoint>()
   private readonly arrivals = new Map<string, number[]>()
   /** Requests that were counted, by service. */
@@ -69,10 +69,10 @@
   private timer: NodeJS.Timeout | undefined
   private nextRequestAt = -Infinity
 
-  constructor (private readonly options: GrantAskerOptions) {}
+  constructor (private readonly options: GrantRequesterOptions) {}
 
   /** Counts a request of a service once, even if an endpoint is chosen for it several times. */
-  noteRequest (service: string, call: object): void {
+  recordRequest (service: string, call: object): void {
     const counted = this.counted.get(service) ?? new WeakSet()
     this.counted.set(service, counted)
     if (counted.has(call)) return
@@ -82,11 +82,11 @@
   }
 
   /** Records that a request needs a grant for an endpoint, and sends a message to control as soon as the spacing allows. */
-  wish ({ incarnation, service }: Pick<WantedEndpoint, 'incarnation' | 'service'>): void {
+  requestGrant ({ incarnation, service }: Pick<WantedEndpoint, 'incarnation' | 'service'>): void {
     const now = this.options.now()
     const known = this.wanted.get(incarnation)
     if (known !== undefined) known.wantedAt = now
-    else this.wanted.set(incarnation, { incarnation, service, rank: rankOf(`${this.options.box} ${incarnation}`), notBefore: -Infinity, wantedAt: now })
+    else this.wanted.set(incarnation, { incarnation, service, rank: hashName(`${this.options.box} ${incarnation}`), notBefore: -Infinity, wantedAt: now })
     if (!this.isRequesting && now >= this.nextRequestAt) void this.requestInMicrotask()
   }
 
@@ -119,12 +119,12 @@
     clearTimeout(this.timer)
   }
 
-  private async send (wishes: GrantWish[], requestedAt: number): Promise<void> {
-    const { ask, wake, logger, now, entries } = this.options
-    this.totals.asks += 1
-    this.nextRequestAt = requestedAt + Math.max(MIN_SPACING_MS, askSpacingMs(entries()))
+  private async send (wishes: GrantRequest[], requestedAt: number): Promise<void> {
+    const { requestGrants, wake, logger, now, entryCount } = this.options
+    this.totals.requests += 1
+    this.nextRequestAt = requestedAt + Math.max(MIN_SPACING_MS, grantRequestSpacingMs(entryCount()))
     try {
-      for (const grant of await ask(wishes)) this.recordGrant(grant, requestedAt)
+      for (const grant of await requestGrants(wishes)) this.recordGrant(grant, requestedAt)
       wake()
     } catch (error) {
       this.totals.failed += 1
@@ -138,22 +138,22 @@
     const now = this.options.now()
     const until = requestedAt + withinMs
     // A grant without `perSecond` comes from a control process that does not support limits, and is not valid for a limited endpoint.
-    const isUsable = requests > 0 && (perSecond !== undefined || this.options.namedLimitOf?.(incarnation) === undefined)
-    if (isUsable) this.options.purse.add(incarnation, { requests, until }, now)
+    const isUsable = requests > 0 && (perSecond !== undefined || this.options.advertisedLimitOf?.(incarnation) === undefined)
+    if (isUsable) this.options.grantPool.add(incarnation, { requests, until }, now)
     const wanted = this.wanted.get(incarnation)
     if (wanted !== undefined && !isUsable) wanted.notBefore = until
   }
 
   /** Returns the grants to request: the recent demand minus the available grants, at the endpoints that this box prefers. */
-  private grantRequests (now: number): GrantWish[] {
-    const wishes: GrantWish[] = []
+  private grantRequests (now: number): GrantRequest[] {
+    const wishes: GrantRequest[] = []
     const missing = this.missing(now)
     for (const wanted of this.requestable(now)) {
       const requests = Math.min(MAX_REQUESTS, missing.get(wanted.service) ?? 0)
       if (requests <= 0) continue
       if (wishes.length === MAX_ENDPOINTS) break
       missing.set(wanted.service, (missing.get(wanted.service) ?? 0) - requests)
-      const perSecond = this.options.namedLimitOf?.(wanted.incarnation)
+      const perSecond = this.options.advertisedLimitOf?.(wanted.incarnation)
       wishes.push({ incarnation: wanted.incarnation, service: wanted.service, requests, ...(perSecond === undefined ? {} : { perSecond }) })
     }
     return wishes
@@ -163,7 +163,7 @@
   private missing (now: number): Map<string, number> {
     const available = new Map<string, number>()
     for (const { service, incarnation } of this.wanted.values()) {
-      available.set(service, (available.get(service) ?? 0) + this.options.purse.left(incarnation, now))
+      available.set(service, (available.get(service) ?? 0) + this.options.grantPool.countAvailable(incarnation, now))
     }
     return new Map([...available].map(([service, count]) => {
       const needed = this.recent(service, now).length + HEADROOM
@@ -174,10 +174,10 @@
   /** Returns the endpoints for which a grant may be requested now, by rank. Removes those that no request has needed recently. */
   private requestable (now: number): WantedEndpoint[] {
     for (const [incarnation, { wantedAt }] of this.wanted) {
-      if (now - wantedAt > WINDOW_MS && this.options.purse.left(incarnation, now) === 0) this.wanted.delete(incarnation)
+      if (now - wantedAt > WINDOW_MS && this.options.grantPool.countAvailable(incarnation, now) === 0) this.wanted.delete(incarnation)
     }
     return [...this.wanted.values()]
-      .filter(({ notBefore, incarnation }) => now >= notBefore && this.options.purse.left(incarnation, now) === 0)
+      .filter(({ notBefore, incarnation }) => now >= notBefore && this.options.grantPool.countAvailable(incarnation, now) === 0)
       .sort((left, right) => left.rank - right.rank)
   }
 
--- a/entry/gateway/src/ingress.ts
+++ b/entry/gateway/src/ingress.ts
@@ -2,11 +2,11 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { messageOf } from '@gullwall/core.error'
 import { isOpenedEarly, listenOn } from '@gullwall/transport.http-server'
-import { CallerAnswer, type ErrorAnswer } from './answer.ts'
+import { CallerResponse, type ErrorResponse } from './caller-response.ts'
 import { resolveCall, type Refusal } from './call.ts'
-import { Forwarding } from './forward.ts'
+import { RequestForwarder } from './request-forwarder.ts'
 import { type GatewayServices } from './index.ts'
-import { heldUntil, START_UP_MS } from './start-up.ts'
+import { holdDeadline, START_UP_MS } from './start-up.ts'
 
 /** Header bytes in addition to the document's limit, for parts that the limit does not cover, such as the request line. */
 const HEADER_MARGIN_BYTES = 16_384
@@ -99,13 +99,13 @@
     const arrivedAt = performance.now()
     const { services } = this
     const requestId = services.dialect.readCall(request.headers).requestId
-    const answer = new CallerAnswer(response, requestId, () => this.isStopping)
+    const answer = new CallerResponse(response, requestId, () => this.isStopping)
     this.inFlight += 1
     try {
       await this.serveWith(request, answer, requestId, arrivedAt)
     } catch (error) {
       services.logger.error({ channel: 'process', event: 'failed', why: `request ${requestId}: ${messageOf(error)}` })
-      answer.error({ status: 500, code: 'ERR_GULLWALL_UNEXPECTED', message: 'unexpected error', ran: 'unknown' })
+      answer.sendError({ status: 500, code: 'ERR_GULLWALL_UNEXPECTED', message: 'unexpected error', ran: 'unknown' })
     } finally {
       this.inFlight -= 1
       // A response that began before the stop has no `connection: close` header.
@@ -113,20 +113,20 @@
     }
   }
 
-  private async serveWith (request: IncomingMessage, answer: CallerAnswer, requestId: string, arrivedAt: number): Promise<void> {
+  private async serveWith (request: IncomingMessage, answer: CallerResponse, requestId: string, arrivedAt: number): Promise<void> {
     const { view, dialect, controlLinks } = this.services
     const body = await readBody(request, view.table?.document.limits.maxBodyBytes ?? DEFAULT_MAX_BODY_BYTES)
     if (body === 'left') return
     if (this.isRefusingAll) {
-      const error: ErrorAnswer = {
+      const error: ErrorResponse = {
         status: 503, code: 'ERR_GULLWALL_STOPPING', message: 'this process is stopping', ran: 'no', retryAfterMs: STOPPING_RETRY_MS
       }
       this.refuse(answer, requestId, error)
       return
     }
-    await this.waitUntilReady(heldUntil(arrivedAt, this.services.startedAt))
+    await this.waitUntilReady(holdDeadline(arrivedAt, this.services.startedAt))
     const table = view.table
-    const notReady = controlLinks.notReady()
+    const notReady = controlLinks.findNotReadyReason()
     if (table === undefined || notReady !== undefined) {
       const message = notReady ?? 'not ready'
       this.refuse(answer, requestId, { status: 503, code: 'ERR_GULLWALL_NOT_READY', message, ran: 'no', retryAfterMs: NOT_READY_RETRY_MS })
@@ -141,16 +141,16 @@
       this.refuse(answer, requestId, { ...call, ran: 'no' })
       return
     }
-    await new Forwarding(this.services, call, answer).run()
+    await new RequestForwarder(this.services, call, answer).run()
   }
 
   /** Waits until this process is ready, at most until `endsAt` by the monotonic clock. */
   private async waitUntilReady (endsAt: number): Promise<void> {
     const { controlLinks, view } = this.services
-    while (controlLinks.notReady() !== undefined && performance.now() < endsAt) await view.changeWithin(POLL_INTERVAL_MS)
+    while (controlLinks.findNotReadyReason() !== undefined && performance.now() < endsAt) await view.waitForChange(POLL_INTERVAL_MS)
   }
 
-  private refuse (answer: CallerAnswer, requestId: string, error: ErrorAnswer): void {
+  private refuse (answer: CallerResponse, requestId: string, error: ErrorResponse): void {
     const { logger, view, metrics } = this.services
     metrics.requests.inc({ route: '', outcome: `refused-${error.status}` })
     logger.sampled(`refuse ${error.status}`, {
@@ -166,7 +166,7 @@
       elapsedMs: 0,
       why: `${error.status} ${error.code}: ${error.message}`
     })
-    answer.error(error)
+    answer.sendError(error)
   }
 }
 
--- a/entry/gateway/src/on-demand-asker.ts
+++ b/entry/gateway/src/on-demand-requester.ts
@@ -4,9 +4,9 @@
  */
 import { messageOf } from '@gullwall/core.error'
 import { type Logger } from '@gullwall/core.logger'
-import { type Grant, type GrantWish } from '@gullwall/transport.messages'
-import { askSpacingMs } from './grant-asker.ts'
-import { type GrantPurse } from './grant-purse.ts'
+import { type Grant, type GrantRequest } from '@gullwall/transport.messages'
+import { grantRequestSpacingMs } from './grant-requester.ts'
+import { type GrantPool } from './grant-pool.ts'
 
 /** Time for which a request waits for the response of control, in ms; then another endpoint is chosen. */
 const RESPONSE_TIMEOUT_MS = 100
@@ -17,29 +17,29 @@
 /** Maximum time between two messages, in ms. It bounds the wait of requests, even if many boxes then exceed the rate of control. */
 const MAX_SPACING_MS = 50
 
-export interface OnDemandAskerOptions {
+export interface OnDemandRequesterOptions {
   logger: Logger
-  ask: (wishes: GrantWish[]) => Promise<Grant[]>
+  requestGrants: (wishes: GrantRequest[]) => Promise<Grant[]>
   /** Wakes the requests that wait for an endpoint. */
   wake: () => void
   now: () => number
-  purse: GrantPurse
+  grantPool: GrantPool
   /** Number of boxes that request grants. */
-  entries: () => number
+  entryCount: () => number
 }
 
 /** A grant request without the number of requests. */
-export type Wanted = Omit<GrantWish, 'requests'>
+export type OnDemandGrantRequest = Omit<GrantRequest, 'requests'>
 
 /** The requests that wait for a grant of one endpoint. */
 interface Pending {
-  wanted: Wanted
+  wanted: OnDemandGrantRequest
   waiters: Array<() => void>
 }
 
-export class OnDemandAsker {
+export class OnDemandRequester {
   /** Counts since the start: messages, those without a response, requests that were granted, and endpoints that were refused. */
-  readonly totals = { asks: 0, failed: 0, granted: 0, refused: 0 }
+  readonly totals = { requests: 0, failed: 0, granted: 0, refused: 0 }
   private pending = new Map<string, Pending>()
   /** Earliest time of the next grant request, by incarnation that control has refused. */
   private readonly notBefore = new Map<string, number>()
@@ -49,7 +49,7 @@
   private isRequesting = false
   private wakeTimer: NodeJS.Timeout | undefined
 
-  constructor (private readonly options: OnDemandAskerOptions) {}
+  constructor (private readonly options: OnDemandRequesterOptions) {}
 
   stop (): void {
     clearTimeout(this.wakeTimer)
@@ -66,7 +66,7 @@
   }
 
   /** Requests a grant for one request; resolves when control has responded or the wait has timed out. */
-  async ask (wanted: Wanted): Promise<void> {
+  async requestGrant (wanted: OnDemandGrantRequest): Promise<void> {
     if (this.waitMs(wanted.incarnation) > 0) return
     await new Promise<void>((resolve) => {
       const timer = setTimeout(resolve, RESPONSE_TIMEOUT_MS)
@@ -94,14 +94,14 @@
   }
 
   private async sendOne (): Promise<void> {
-    const { ask, now, entries, logger } = this.options
+    const { requestGrants, now, entryCount, logger } = this.options
     const batch = [...this.pending.values()].slice(0, MAX_ENDPOINTS)
     for (const { wanted } of batch) this.pending.delete(wanted.incarnation)
     const requestedAt = now()
-    this.totals.asks += 1
-    this.nextRequestAt = requestedAt + Math.min(MAX_SPACING_MS, askSpacingMs(entries()))
+    this.totals.requests += 1
+    this.nextRequestAt = requestedAt + Math.min(MAX_SPACING_MS, grantRequestSpacingMs(entryCount()))
     try {
-      const grants = await ask(batch.map(({ wanted, waiters }) => ({ ...wanted, requests: waiters.length })))
+      const grants = await requestGrants(batch.map(({ wanted, waiters }) => ({ ...wanted, requests: waiters.length })))
       for (const grant of grants) this.recordGrant(grant, requestedAt)
     } catch (error) {
       this.totals.failed += 1
@@ -116,12 +116,12 @@
 
   /** Records a grant or a refusal. Its time counts from the request, since control does not know how long the response is in transit. */
   private recordGrant ({ incarnation, requests, withinMs, perSecond }: Grant, requestedAt: number): void {
-    const { purse, now } = this.options
+    const { grantPool, now } = this.options
     const until = requestedAt + withinMs
     // A grant without `perSecond` comes from a control process that does not support limits, and is not valid for a limited endpoint.
     if (requests > 0 && perSecond !== undefined) {
       this.totals.granted += requests
-      purse.add(incarnation, { requests, until }, now())
+      grantPool.add(incarnation, { requests, until }, now())
     } else {
       this.totals.refused += 1
       this.notBefore.set(incarnation, until)
--- a/entry/gateway/src/quarantine.ts
+++ b/entry/gateway/src/quarantine.ts
@@ -1,27 +1,27 @@
 /** Detects requests under which endpoints crash, reports them to control, and refuses the quarantined ones. */
 import { heldRequestsIn, whyHeld } from '@gullwall/control.state'
 import { type EndpointState } from '@gullwall/routing.balancer'
-import { CrashReporter, CrashWatch, type BrokenRequest } from '@gullwall/endpoint.crashes'
-import { verdictOf, type AttemptEnd } from './answer-receiver.ts'
+import { CrashReporter, CrashDetector, type InterruptedRequest } from '@gullwall/endpoint.crashes'
+import { verdictOf, type AttemptOutcome } from './attempt-response-receiver.ts'
 import { type Call } from './call.ts'
 import { type GatewayServices } from './index.ts'
 
 /** Retry delay for the caller of a quarantined request, in ms. A quarantine lasts for minutes, and each retry costs both sides. */
-export const HELD_RETRY_MS = 60_000
+export const QUARANTINE_RETRY_MS = 60_000
 
 export class Quarantine {
   /** Number of quarantined requests that were refused since the start. */
-  refused = 0
-  private readonly watch: CrashWatch
+  refusedCount = 0
+  private readonly watch: CrashDetector
   private readonly reporter: CrashReporter
   /** Fingerprints of the quarantined requests. */
   private quarantined: ReadonlySet<string> = new Set()
 
   constructor (private readonly services: Pick<GatewayServices, 'store' | 'view' | 'logger' | 'controlLinks'>) {
     const { store, view, logger, controlLinks } = services
-    this.reporter = new CrashReporter({ logger, tell: async (report) => await controlLinks.tellCrashes(report) })
-    this.watch = new CrashWatch({
-      stateOf: (incarnation) => view.leases.stateOf(incarnation),
+    this.reporter = new CrashReporter({ logger, sendReport: async (report) => await controlLinks.reportCrashes(report) })
+    this.watch = new CrashDetector({
+      getLeaseState: (incarnation) => view.leases.stateOf(incarnation),
       isReplaced: (incarnation) => view.leases.isReplaced(incarnation),
       onCrash: (endpoint, requests) => this.recordCrash(endpoint, requests)
     })
@@ -44,13 +44,13 @@
   }
 
   /** Number of crashes of endpoints that were running requests of this process, since the start. */
-  get crashes (): number {
-    return this.reporter.crashes
+  get crashCount (): number {
+    return this.reporter.crashCount
   }
 
   /** Returns why a request may not be sent to any endpoint; undefined if it may. */
-  whyNot ({ fingerprint }: Pick<Call, 'fingerprint'>): string | undefined {
-    const localOnly = this.reporter.heldWithoutControl
+  findRefusalReason ({ fingerprint }: Pick<Call, 'fingerprint'>): string | undefined {
+    const localOnly = this.reporter.locallyQuarantined
     if (this.quarantined.size + localOnly.size === 0) return undefined
     const reason = whyHeld(this.services.store.records, fingerprint())
     if (reason !== undefined) return reason
@@ -58,24 +58,24 @@
   }
 
   /** Records what the outcome of an attempt shows: the endpoint may have crashed, has ended, or is still running. */
-  noteEnd (endpoint: EndpointState, call: Call, end: AttemptEnd): void {
+  recordOutcome (endpoint: EndpointState, call: Call, end: AttemptOutcome): void {
     if (end.type === 'broken' && end.isClosed) this.recordBrokenAttempt(endpoint, call)
-    if ((end.type === 'unsent' && end.isRefused === true) || verdictOf(end) === 'ended') this.watch.noteEnded(endpoint.description.incarnation)
-    if (end.type === 'answered' || end.type === 'failed') this.reporter.noteRanWell(call.fingerprint)
+    if ((end.type === 'unsent' && end.isRefused === true) || verdictOf(end) === 'ended') this.watch.recordProcessEnd(endpoint.description.incarnation)
+    if (end.type === 'answered' || end.type === 'failed') this.reporter.recordSuccess(call.fingerprint)
   }
 
   /** Records that the connection to an endpoint was lost while a request was running there. */
-  private recordBrokenAttempt ({ description: { incarnation, address }, heardAt }: EndpointState, { requestId, fingerprint }: Call): void {
-    const silentMs = Math.min(performance.now() - heardAt, this.services.view.leases.silentMs(incarnation))
-    this.watch.noteBroken({ incarnation, address, silentMs }, { requestId, fingerprint: fingerprint() })
+  private recordBrokenAttempt ({ description: { incarnation, address }, lastReceivedAt }: EndpointState, { requestId, fingerprint }: Call): void {
+    const silentMs = Math.min(performance.now() - lastReceivedAt, this.services.view.leases.silentMs(incarnation))
+    this.watch.recordBrokenConnection({ incarnation, address, silentMs }, { requestId, fingerprint: fingerprint() })
   }
 
-  private recordCrash (endpoint: string, requests: BrokenRequest[]): void {
+  private recordCrash (endpoint: string, requests: InterruptedRequest[]): void {
     for (const { fingerprint, requestId } of requests) {
       const why = `${endpoint} crashed while running this request and ${requests.length - 1} others of this box`
       this.services.logger.info({ channel: 'quarantine', event: 'crashed', fingerprint, endpoint, request: requestId, why })
     }
-    this.reporter.note({ endpoint, requests: [...new Set(requests.map(({ fingerprint }) => fingerprint))] })
+    this.reporter.recordCrash({ endpoint, requests: [...new Set(requests.map(({ fingerprint }) => fingerprint))] })
   }
 
   /** Updates the quarantined requests from the stored records, and logs the changes. */
--- a/entry/gateway/src/forward.ts
+++ b/entry/gateway/src/request-forwarder.ts
@@ -1,22 +1,23 @@
 /** Forwards one request: chooses endpoints, sends attempts one after the other, and completes the response to the caller. */
-import { strainOf, type Candidate, type Work } from '@gullwall/routing.balancer'
-import { type CallerAnswer, type ErrorAnswer } from './answer.ts'
-import { AnswerReceiver, hasRun, verdictOf, type AttemptEnd } from './answer-receiver.ts'
+import { pauseSensitivityOf, type Candidate, type SentPrompt, type InFlightRequest } from '@gullwall/routing.balancer'
+import { type CallerResponse, type ErrorResponse } from './caller-response.ts'
+import { AttemptResponseReceiver, hasRun, verdictOf, type AttemptOutcome } from './attempt-response-receiver.ts'
 import { AttemptHistory } from './attempt-history.ts'
-import { admit, nextStep, silenceOf, WATCH_MS, type NextStep, type RequestState } from './attempt-policy.ts'
+import { admit, decideNextStep, findStallReason, WATCH_INTERVAL_MS, type NextStep, type RequestState } from './attempt-policy.ts'
 import { remainingMs, type Call } from './call.ts'
 import { originOf } from './connections.ts'
-import { connectionsSeen } from './connections-seen.ts'
+import { yieldToIo } from './yield-to-io.ts'
 import {
-  chooseEndpoint, hasAlternative, isSensitive, outputTokensOf, restMsOfAll, whyNever, whyNone, type EndpointChoiceOptions
+  chooseEndpoint, hasAlternative, isPauseSensitive, estimateOutputTokens, findAvailabilityDelayMs, findPermanentRefusalReason,
+  findNoEndpointReason, type EndpointChoiceOptions
 } from './endpoint-choice.ts'
-import { whyNotPlace } from './eligibility.ts'
+import { findDataCentreRefusalReason } from './eligibility.ts'
 import { Exchange } from './exchange.ts'
 import { type GatewayServices } from './index.ts'
-import { returnAfterMs, waitRank, waitsUntil } from './patience.ts'
-import { HELD_RETRY_MS } from './quarantine.ts'
+import { chooseRetryAfterMs, waitRank, findWaitDeadline } from './endpoint-wait.ts'
+import { QUARANTINE_RETRY_MS } from './quarantine.ts'
 import { RequestRecorder } from './request-recorder.ts'
-import { takeLeave, whyNoLeave, type SendingLeave } from './sending-leave.ts'
+import { acquireSendPermit, findSendRefusalReason, type SendPermit } from './send-permit.ts'
 
 /** Timeout for a connection to an endpoint, in ms: many round trips between data centres of one region. */
 const CONNECT_TIMEOUT_MS = 350
@@ -30,10 +31,10 @@
 /** An attempt that is ready to be sent. */
 interface Attempt {
   candidate: Candidate
-  leave: SendingLeave
+  leave: SendPermit
 }
 
-export class Forwarding {
+export class RequestForwarder {
   private readonly history: AttemptHistory
   private readonly recorder: RequestRecorder
   private lastEventId: string | undefined
@@ -46,7 +47,7 @@
   private hasRecordedUsage = false
   private deadlineTimer: NodeJS.Timeout | undefined
 
-  constructor (private readonly services: GatewayServices, private readonly call: Call, private readonly answer: CallerAnswer) {
+  constructor (private readonly services: GatewayServices, private readonly call: Call, private readonly answer: CallerResponse) {
     this.history = new AttemptHistory(call)
     this.recorder = new RequestRecorder(services, call, this.history)
     this.lastEventId = call.lastEventId
@@ -54,11 +55,11 @@
 
   async run (): Promise<void> {
     const { call } = this
-    this.services.budget.noteRequest()
-    this.services.outputs.note(call.route.name, call.output ?? {})
-    this.services.view.reserved.noteRequest({ route: call.route.name }, call.prompt.at(-1)?.tokens ?? 0)
-    await connectionsSeen()
-    this.answer.onLeft(() => this.cancel())
+    this.services.budget.recordRequest()
+    this.services.outputEstimate.record(call.route.name, call.output ?? {})
+    this.services.view.reserved.recordRequest({ route: call.route.name }, call.prompt.at(-1)?.tokens ?? 0)
+    await yieldToIo()
+    this.answer.onDisconnected(() => this.cancel())
     this.deadlineTimer = setTimeout(() => this.deadlinePassed(), call.deadline - performance.now())
     try {
       await this.attempts()
@@ -68,7 +69,7 @@
   }
 
   private async attempts (): Promise<void> {
-    const permanentReason = whyNever(this.services, this.call)
+    const permanentReason = findPermanentRefusalReason(this.services, this.call)
     if (permanentReason !== undefined) this.refuse(permanentReason)
     while (!this.isOver) {
       if (this.refuseIfQuarantined()) return
@@ -79,38 +80,40 @@
       const candidate = await this.nextCandidate()
       if (this.isOver || this.refuseIfQuarantined()) return
       if (candidate === undefined) {
-        this.refuse(whyNone(this.choiceOptions))
+        this.refuse(findNoEndpointReason(this.choiceOptions))
         return
       }
       const admission = admit(this.state, candidate)
       if (admission.type === 'refuse') {
-        this.refuse(admission.why, admission.afterMs)
+        this.refuse(admission.reason, admission.retryAfterMs)
         return
       }
       const { limits } = this.services
-      if (limits.mustAsk(candidate.endpoint)) await limits.askFor(candidate.endpoint)
+      if (limits.needsGrant(candidate.endpoint)) await limits.requestGrant(candidate.endpoint)
       if (this.isOver) return
-      const leave = takeLeave(this.services, candidate.endpoint)
+      const leave = acquireSendPermit(this.services, candidate.endpoint)
       if (leave === undefined) continue
       const end = await this.attempt({ candidate, leave })
       if (this.isOver) return
-      this.follow(nextStep(this.state, candidate.endpoint.description.incarnation, end))
+      this.follow(decideNextStep(this.state, candidate.endpoint.description.incarnation, end))
     }
   }
 
   /** Refuses the request if endpoints crash under it; returns whether it was refused. */
   private refuseIfQuarantined (): boolean {
-    const reason = this.services.quarantine.whyNot(this.call)
+    const reason = this.services.quarantine.findRefusalReason(this.call)
     if (reason === undefined) return false
-    this.services.quarantine.refused += 1
-    this.recorder.tellFingerprint()
-    this.refuse(reason, HELD_RETRY_MS)
+    this.services.quarantine.refusedCount += 1
+    this.recorder.includeFingerprint()
+    this.refuse(reason, QUARANTINE_RETRY_MS)
     return true
   }
 
   private get state (): RequestState {
     const { call, history, services } = this
-    return { call, history, budget: services.budget, patienceMs: services.view.table?.longestTargetMs(call.route) ?? call.route.targetMs }
+    return {
+      call, history, budget: services.budget, acceptableWaitMs: services.view.table?.longestTargetMs(call.route) ?? call.route.targetMs
+    }
   }
 
   private get choiceOptions (): EndpointChoiceOptions {
@@ -127,12 +130,14 @@
       const candidate = chooseEndpoint(this.choiceOptions)
       if (candidate !== undefined || this.isOver) return candidate
       const now = performance.now()
-      const waitDeadline = waitsUntil({ call, resumedAt, restMs: restMsOfAll(services, call, history.excluded), now })
+      const waitDeadline = findWaitDeadline(
+        { call, resumedAt, availabilityDelayMs: findAvailabilityDelayMs(services, call, history.excluded), now }
+      )
       // A resumed request keeps waiting during the slow start that follows a backoff.
       this.waitDeadline = resumedAt === undefined ? waitDeadline : Math.max(this.waitDeadline, waitDeadline)
       const maxWaitMs = this.waitDeadline - now
       if (maxWaitMs <= 0) return undefined
-      await services.view.changeWithin(maxWaitMs, waitRank(call))
+      await services.view.waitForChange(maxWaitMs, waitRank(call))
     }
   }
 
@@ -143,63 +148,66 @@
     return usable.some(({ description }) => !history.excluded.has(description.incarnation))
   }
 
-  private async attempt ({ candidate, leave }: Attempt): Promise<AttemptEnd> {
+  private async attempt ({ candidate, leave }: Attempt): Promise<AttemptOutcome> {
     const { call, services } = this
     const { endpoint, unreadTokens, urgency } = candidate
     this.resumedAt = undefined
     this.waitDeadline = -Infinity
-    services.workExchange.noteSending(endpoint, call.prompt)
-    const sent = {
+    services.loadExchange.recordSending(endpoint, call.prompt)
+    const sent: SentPrompt = {
       prompt: call.prompt,
       unreadTokens,
       urgency,
-      strain: strainOf(call.route.pauseMs, endpoint.reading.pauseMs),
-      isSensitive: isSensitive(services, call, endpoint.description.service),
-      outputTokens: outputTokensOf(services, call)
+      pauseSensitivity: pauseSensitivityOf(call.route.pauseMs, endpoint.prefill.pauseMs),
+      isPauseSensitive: isPauseSensitive(services, call, endpoint.description.service),
+      outputTokens: estimateOutputTokens(services, call)
     }
     const work = endpoint.begin(sent, performance.now())
-    services.workExchange.noteSent(unreadTokens)
-    this.recorder.dispatched(candidate)
-    const recordResponseBytes = services.crossings.begin(call, endpoint)
-    const receiver = new AnswerReceiver(this, work, candidate, leave.permit)
+    services.loadExchange.recordSent(unreadTokens)
+    this.recorder.recordDispatch(candidate)
+    const recordResponseBytes = services.crossRegionTraffic.beginRequest(call, endpoint)
+    const receiver = new AttemptResponseReceiver(this, work, candidate, leave.backoffPermit)
     const exchange = this.send(candidate, receiver, leave)
     this.exchange = exchange
-    const watch = setInterval(() => this.watch(candidate, work), WATCH_MS)
-    const end = receiver.endOf(await exchange.ended)
+    const watch = setInterval(() => this.watch(candidate, work), WATCH_INTERVAL_MS)
+    const end = receiver.finish(await exchange.outcome)
     clearInterval(watch)
-    leave.permit.released()
+    leave.backoffPermit.release()
     recordResponseBytes(receiver.receivedBytes)
     const verdict = verdictOf(end)
     if (call.route.kind !== 'stream' && hasRun(end)) this.recordUsage(work.startedAt)
     endpoint.end(work, verdict, performance.now())
-    if (verdict === 'unreachable' || verdict === 'ended') services.workExchange.noteUnreachable()
+    if (verdict === 'unreachable' || verdict === 'ended') services.loadExchange.recordUnreachable()
     services.view.wake()
-    if (end.type === 'broken') this.recorder.tellFingerprint()
-    services.quarantine.noteEnd(endpoint, call, end)
+    if (end.type === 'broken') this.recorder.includeFingerprint()
+    services.quarantine.recordOutcome(endpoint, call, end)
     return end
   }
 
-  private send (candidate: Candidate, receiver: AnswerReceiver, leave: SendingLeave): Exchange {
+  private send (candidate: Candidate, receiver: AttemptResponseReceiver, leave: SendPermit): Exchange {
     const { call, services } = this
     const { description } = candidate.endpoint
     const service = services.view.table?.service(description.service)
-    const dispatcher = services.connections.to(description, service?.maxConnections ?? DEFAULT_CONNECTIONS, services.view.entries)
+    const dispatcher = services.connections.dispatcherFor(
+      description, service?.maxConnections ?? DEFAULT_CONNECTIONS, services.view.entryCount
+    )
     return new Exchange(dispatcher, originOf(description.address), {
       method: call.method,
       path: call.path,
       headers: this.headersFor(candidate),
       body: call.body,
       connectMs: CONNECT_TIMEOUT_MS,
-      whyNot: () => this.findRefusalReason(candidate, leave),
-      wasClosedWell: async () => await services.connections.wasClosedWell()
+      findRefusalReason: () => this.findRefusalReason(candidate, leave),
+      wasClosedCleanly: async () => await services.connections.wasClosedCleanly()
     }, receiver)
   }
 
   /** Returns why the request may no longer be sent when a connection is available; undefined if it may. */
-  private findRefusalReason ({ endpoint }: Candidate, leave: SendingLeave): string | undefined {
+  private findRefusalReason ({ endpoint }: Candidate, leave: SendPermit): string | undefined {
     const { services, call } = this
-    return whyNotPlace(services.eligibility, endpoint.description.dataCentre, call) ??
-      services.quarantine.whyNot(call) ?? services.notices.whyNotNow(endpoint) ?? whyNoLeave(services, endpoint, leave)
+    return findDataCentreRefusalReason(services.eligibility, endpoint.description.dataCentre, call) ??
+      services.quarantine.findRefusalReason(call) ??
+      services.notices.findRefusalReason(endpoint) ?? findSendRefusalReason(services, endpoint, leave)
   }
 
   private headersFor ({ endpoint, source, urgency }: Candidate): string[] {
@@ -221,18 +229,18 @@
         this.isOver = true
         break
       case 'again':
-        this.recorder.decided(this.isResumed ? 'resume' : 'retry', `${step.why}; budget left ${step.budgetLeft.toFixed(1)}`)
+        this.recorder.recordDecision(this.isResumed ? 'resume' : 'retry', `${step.reason}; budget left ${step.budgetLeft.toFixed(1)}`)
         break
       case 'refuse':
-        this.refuse(step.why)
+        this.refuse(step.reason)
         break
       case 'pass-failure':
         this.isOver = true
-        this.recorder.ended('fail', `failed-${step.head.status}`, `the endpoint responded ${step.head.status}: ${step.why}`)
-        this.answer.whole(step.head.status, step.head.headers, step.body)
+        this.recorder.recordEnd('fail', `failed-${step.head.status}`, `the endpoint responded ${step.head.status}: ${step.reason}`)
+        this.answer.sendComplete(step.head.status, step.head.headers, step.body)
         break
       case 'fail':
-        this.fail(502, step.code, step.why)
+        this.fail(502, step.code, step.reason)
         break
     }
   }
@@ -243,7 +251,7 @@
   }
 
   /** Checks a running attempt at each interval: ends it at the deadline, and abandons it if its endpoint does not respond. */
-  private watch (candidate: Candidate, work: Work): void {
+  private watch (candidate: Candidate, work: InFlightRequest): void {
     const { exchange, recorder } = this
     if (this.isOver || exchange === undefined) return
     // The deadline timer fires late if the box was suspended.
@@ -254,26 +262,26 @@
     const running = {
       ...this.state,
       candidate,
-      work,
+      inFlightRequest: work,
       lastProgressAt: recorder.latestEventAt,
       hasAlternative: () => hasAlternative(this.choiceOptions, candidate.endpoint)
     }
-    const reason = silenceOf(running, performance.now())
+    const reason = findStallReason(running, performance.now())
     if (reason === undefined) return
-    recorder.decided('stop', reason)
-    exchange.giveUp(reason)
+    recorder.recordDecision('stop', reason)
+    exchange.abandon(reason)
   }
 
   /** Pauses reading from the endpoint while the caller reads too slowly. */
-  holdUntilDrained (): void {
+  pauseUntilDrained (): void {
     const { exchange } = this
     exchange?.pause()
     this.answer.onceDrained(() => exchange?.resume())
   }
 
   /** Records that complete events were forwarded to the caller. */
-  noteEvents (lastId: string | undefined): void {
-    this.recorder.passedEvents()
+  recordEvents (lastId: string | undefined): void {
+    this.recorder.recordEvents()
     this.recordUsage(this.recorder.latestEventAt)
     if (lastId !== undefined) this.lastEventId = lastId
   }
@@ -286,16 +294,16 @@
     const { organisation } = this.call
     if (this.hasRecordedUsage || organisation === undefined) return
     this.hasRecordedUsage = true
-    this.services.usage.noteBegun(organisation.name, at)
+    this.services.usageTracker.recordBegun(organisation.name, at)
   }
 
   /** Records that the response to the caller is complete. */
-  noteAnswered (): void {
+  recordAnswered (): void {
     this.isOver = true
-    this.recorder.answered()
+    this.recorder.recordAnswered()
   }
 
-  get facts (): { call: Call, answer: CallerAnswer, services: GatewayServices } {
+  get context (): { call: Call, answer: CallerResponse, services: GatewayServices } {
     return { call: this.call, answer: this.answer, services: this.services }
   }
 
@@ -304,7 +312,7 @@
     if (this.isOver) return
     this.isOver = true
     this.exchange?.cancel()
-    this.recorder.ended('cancel', 'left', 'the caller disconnected')
+    this.recorder.recordEnd('cancel', 'left', 'the caller disconnected')
   }
 
   private deadlinePassed (): void {
@@ -317,8 +325,8 @@
 
   /** Refuses the request with "not run" if that is certain; a request that may have run fails instead. */
   private refuse (reason: string, minRetryAfterMs = 0): void {
-    const availabilityDelayMs = restMsOfAll(this.services, this.call)
-    const defaultRetryAfterMs = availabilityDelayMs > 0 ? returnAfterMs(availabilityDelayMs, this.call.tier) : MIN_RETRY_AFTER_MS
+    const availabilityDelayMs = findAvailabilityDelayMs(this.services, this.call)
+    const defaultRetryAfterMs = availabilityDelayMs > 0 ? chooseRetryAfterMs(availabilityDelayMs, this.call.tier) : MIN_RETRY_AFTER_MS
     const retryAfterMs = Math.round(Math.max(defaultRetryAfterMs, minRetryAfterMs))
     if (this.history.mayHaveRun) this.fail(502, 'ERR_GULLWALL_BROKEN', reason)
     else this.end({ status: 503, code: 'ERR_GULLWALL_REFUSED', message: reason, ran: 'no', retryAfterMs }, 'refuse')
@@ -328,10 +336,10 @@
     this.end({ status, code, message: why, ran: this.answer.hasBegun ? 'partly' : 'unknown' }, 'fail')
   }
 
-  private end (answer: ErrorAnswer, decision: 'refuse' | 'fail'): void {
+  private end (answer: ErrorResponse, decision: 'refuse' | 'fail'): void {
     this.isOver = true
     const outcome = decision === 'refuse' ? 'refused' : `error-${answer.status}`
-    this.recorder.ended(decision, outcome, `${answer.status} ${answer.code}: ${answer.message}`)
-    this.answer.error(answer)
+    this.recorder.recordEnd(decision, outcome, `${answer.status} ${answer.code}: ${answer.message}`)
+    this.answer.sendError(answer)
   }
 }
--- a/entry/gateway/test/all-limited.test.ts
+++ b/entry/gateway/test/all-limited.test.ts
@@ -14,7 +14,7 @@
   deployment = new LimitedDeployment(engines)
   await deployment.start(gateways)
   await deployment.sendFor(500, demand)
-  for (const engine of engines) engine.perSecond = perSecond
+  for (const engine of engines) engine.advertisedPerSecond = perSecond
   const advertisedAt = performance.now()
   const replies = await deployment.sendFor(ms, demand)
   const settledAt = advertisedAt + SETTLED_MS
@@ -24,14 +24,14 @@
     `refused ${refusedEarly} of ${replies.length - settledReplies.length} in the first ${SETTLED_MS} ms, ` +
     `then ${settledReplies.filter(({ status }) => status !== 200).length} of ${settledReplies.length}; ` +
     `engines received ${engines.map((engine) => engine.countSince(settledAt)).join(', ')}, ` +
-    `at most ${engines.map((engine) => engine.busiest(settledAt)).join(', ')} in ${WINDOW_MS} ms`)
+    `at most ${engines.map((engine) => engine.maxPerWindow(settledAt)).join(', ')} in ${WINDOW_MS} ms`)
   return { engines, settledReplies, settledAt }
 }
 
 describe('a service whose endpoints all advertise limits', () => {
   it('serves every request if the limits exceed the demand', async () => {
     const { engines, settledReplies, settledAt } = await runScenario(10, 15, 5, 8000)
-    for (const engine of engines) expect(engine.busiest(settledAt)).toBeLessThanOrEqual(40)
+    for (const engine of engines) expect(engine.maxPerWindow(settledAt)).toBeLessThanOrEqual(40)
     expect(settledReplies.filter(({ status }) => status !== 200)).toEqual([])
   }, 40_000)
 
@@ -39,7 +39,7 @@
     const ms = 14_000
     const { engines, settledAt } = await runScenario(2, 30, 5, ms)
     for (const engine of engines) {
-      expect(engine.busiest(settledAt)).toBeLessThanOrEqual(8)
+      expect(engine.maxPerWindow(settledAt)).toBeLessThanOrEqual(8)
       expect(engine.countSince(settledAt)).toBeGreaterThan(0.8 * 2 * (ms - SETTLED_MS) / 1000)
     }
   }, 40_000)
--- a/entry/gateway/test/caller-left.test.ts
+++ b/entry/gateway/test/caller-disconnected.test.ts
@@ -1,12 +1,12 @@
 import { spawnSync } from 'node:child_process'
 import { setTimeout as sleep } from 'node:timers/promises'
 import { afterAll, beforeAll, expect, it } from 'vitest'
-import { GatewayDeployment, StandIn } from './stand-in.ts'
+import { GatewayDeployment, StubEndpoint } from './gateway-deployment.ts'
 
 /** Time in which a request would reach its endpoint, in ms. */
 const SETTLE_MS = 300
 
-const standIn = new StandIn('i-only', 'app')
+const standIn = new StubEndpoint('i-only', 'app')
 const deployment = new GatewayDeployment([standIn])
 
 beforeAll(async () => {
@@ -27,5 +27,5 @@
 it('a request whose caller disconnected before this process read the request is not sent to any endpoint', async () => {
   sendWhileBlocked('disconnected')
   await sleep(SETTLE_MS)
-  expect(standIn.arrived).not.toContain('disconnected')
+  expect(standIn.requestIds).not.toContain('disconnected')
 })
--- a/entry/gateway/test/crashing-engines.ts
+++ b/entry/gateway/test/crashing-engines.ts
@@ -1,14 +1,14 @@
 /** Engines whose process crashes while it runs a certain body, and restarts at the same address. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { type IncomingMessage, type ServerResponse } from 'node:http'
-import { answerWell, StandIn, type GatewayDeployment } from './stand-in.ts'
+import { answerOk, StubEndpoint, type GatewayDeployment } from './gateway-deployment.ts'
 
 /** Time between a crash and the restart of the process, in ms. */
-export const BACK_AFTER_MS = 250
+export const RESTART_DELAY_MS = 250
 
 const HEARTBEAT_MS = 500
 
-export interface CrashingOptions {
+export interface CrashingEnginesOptions {
   /** Whether a request with this body crashes the process that runs it. */
   crashes: (body: string) => boolean
   /** Time after which a request receives its response, or crashes its engine, in ms. */
@@ -20,12 +20,12 @@
   readonly crashes: string[][] = []
   /** The bodies that were run, with the start times. */
   readonly runs: Array<{ body: string, at: number }> = []
-  private readonly slots: Array<{ standIn: StandIn, running: string[], sequence: number }> = []
+  private readonly slots: Array<{ standIn: StubEndpoint, running: string[], sequence: number }> = []
   private starts = 0
   private isOver = false
   private timer: NodeJS.Timeout | undefined
 
-  constructor (private readonly deployment: GatewayDeployment, private readonly options: CrashingOptions) {}
+  constructor (private readonly deployment: GatewayDeployment, private readonly options: CrashingEnginesOptions) {}
 
   async start (count: number): Promise<void> {
     for (let slot = 0; slot < count; slot += 1) await this.startAt(slot)
@@ -40,28 +40,28 @@
   }
 
   /** Number of processes that are running. */
-  get up (): number {
-    return this.slots.filter(({ standIn }) => standIn.isUp).length
+  get upCount (): number {
+    return this.slots.filter(({ standIn }) => standIn.isListening).length
   }
 
   /** Crashes the process in a slot, whatever it runs. */
   crash (slot: number): void {
     const { standIn, running } = this.slots[slot] ?? this.missing(slot)
-    if (!standIn.isUp) return
+    if (!standIn.isListening) return
     this.crashes.push([...running])
     standIn.stop()
     void this.restartLater(slot)
   }
 
   private async restartLater (slot: number): Promise<void> {
-    await sleep(BACK_AFTER_MS)
+    await sleep(RESTART_DELAY_MS)
     if (!this.isOver) await this.startAt(slot)
   }
 
   private async startAt (slot: number): Promise<void> {
     this.starts += 1
     const running: string[] = []
-    const standIn = new StandIn(`i-${slot}-${this.starts}`, 'app', (request, response, body) => {
+    const standIn = new StubEndpoint(`i-${slot}-${this.starts}`, 'app', (request, response, body) => {
       void this.run({ slot, running, request, response, body })
     })
     const port = Number(this.slots[slot]?.standIn.address.split(':')[1] ?? 0)
@@ -73,10 +73,10 @@
   /** Sends heartbeats for all running engines, or only for the one in a slot. */
   private async sendHeartbeats (only?: number): Promise<void> {
     for (const [slot, known] of this.slots.entries()) {
-      if (!known.standIn.isUp || (only !== undefined && only !== slot)) continue
+      if (!known.standIn.isListening || (only !== undefined && only !== slot)) continue
       known.sequence += 1
       const { incarnation, service, address, dataCentre } = known.standIn
-      await this.deployment.control.get('registrar').hear({
+      await this.deployment.control.get('registrar').receiveHeartbeat({
         incarnation, service, address, dataCentre, slots: 4, state: 'ready', sequence: known.sequence, ageMs: 0
       })
     }
@@ -91,7 +91,7 @@
       this.crash(slot)
     } else if (!response.destroyed) {
       running.splice(running.indexOf(body), 1)
-      answerWell(request, response, body)
+      answerOk(request, response, body)
     }
   }
 
--- a/entry/gateway/test/events.test.ts
+++ b/entry/gateway/test/event-splitter.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { EventCutter } from '@gullwall/entry.gateway'
+import { EventSplitter } from '@gullwall/entry.gateway'
 
 const SEED = Number(process.env['FUZZ_SEED'] ?? 11)
 
@@ -8,12 +8,12 @@
   it(`are the same for any division of the bytes into chunks (seed ${SEED})`, () => {
     const body = Buffer.from(Array.from({ length: 9 }, (_, id) => `id: ${id + 1}\ndata: ${'x'.repeat(id * 3)}\n\n`).join(''))
     fc.assert(fc.property(fc.array(fc.integer({ min: 1, max: 40 }), { minLength: 1 }), (sizes) => {
-      const splitter = new EventCutter()
+      const splitter = new EventSplitter()
       const received: Buffer[] = []
       let lastId: string | undefined
       for (let offset = 0, turn = 0; offset < body.length; turn++) {
         const size = sizes[turn % sizes.length] ?? 1
-        const events = splitter.take(body.subarray(offset, offset + size))
+        const events = splitter.push(body.subarray(offset, offset + size))
         offset += size
         if (events === undefined) continue
         expect(events.bytes.subarray(-2).toString()).toBe('\n\n')
@@ -27,13 +27,13 @@
   })
 
   it('exclude an event that is incomplete', () => {
-    const splitter = new EventCutter()
-    expect(splitter.take(Buffer.from('id: 1\ndata: a\n\nid: 2\nda'))?.lastId).toBe('1')
-    expect(splitter.take(Buffer.from('ta: b\n'))).toBeUndefined()
+    const splitter = new EventSplitter()
+    expect(splitter.push(Buffer.from('id: 1\ndata: a\n\nid: 2\nda'))?.lastId).toBe('1')
+    expect(splitter.push(Buffer.from('ta: b\n'))).toBeUndefined()
     expect(splitter.remainder().toString()).toBe('id: 2\ndata: b\n')
   })
 
   it('are found if lines end with a carriage return and a line feed', () => {
-    expect(new EventCutter().take(Buffer.from('id: 4\r\ndata: a\r\n\r\n'))?.lastId).toBe('4')
+    expect(new EventSplitter().push(Buffer.from('id: 4\r\ndata: a\r\n\r\n'))?.lastId).toBe('4')
   })
 })
--- a/entry/gateway/test/limit-words.test.ts
+++ b/entry/gateway/test/limit-propagation.test.ts
@@ -11,12 +11,12 @@
 const [limited] = engines
 const scenario = new LimitedDeployment(engines)
 
-const limitAt = (gateway: number) => scenario.gateways[gateway]?.get('limits').limitOf(limited.incarnation)
+const limitAt = (gateway: number) => scenario.gateways[gateway]?.get('limits').limitPerSecond(limited.incarnation)
 const isKnownEverywhere = (perSecond: number | undefined) => scenario.gateways.every((_gateway, index) => limitAt(index) === perSecond)
 
 /** Changes the limit that the engine advertises, and sends requests until all gateways know the new limit. */
 async function advertise (perSecond: number | undefined): Promise<void> {
-  limited.perSecond = perSecond
+  limited.advertisedPerSecond = perSecond
   // Earlier requests count towards a lower limit, so that the next response may take as long as a window.
   for (let tries = 0; !isKnownEverywhere(perSecond) && tries < MAX_TRIES; tries += 1) {
     const replies = await scenario.sendFor(500, 30)
@@ -49,7 +49,7 @@
     const from = performance.now()
     await scenario.sendFor(3000, 30)
     expect(limited.countSince(from)).toBeLessThanOrEqual(1)
-    limited.perSecond = undefined
+    limited.advertisedPerSecond = undefined
     const replies = scenario.sendFor(12_000, 30)
     await until('the end of the limit', () => isKnownEverywhere(undefined))
     expect((await replies).filter(({ status }) => status !== 200)).toEqual([])
@@ -58,7 +58,7 @@
   it('is enforced without control: the endpoint receives nothing, and the others serve all requests', async () => {
     await advertise(5)
     const links = scenario.gateways.map((gateway) => gateway.get('controlLinks'))
-    for (const link of links) vi.spyOn(link, 'askGrants').mockRejectedValue(new Error('disconnected'))
+    for (const link of links) vi.spyOn(link, 'requestGrants').mockRejectedValue(new Error('disconnected'))
     await scenario.sendFor(500, 30)
     const from = performance.now()
     const replies = await scenario.sendFor(2000, 30)
@@ -73,7 +73,7 @@
 
   it('is enforced if control does not support limits: no request is sent under grants without a limit', async () => {
     for (const gateway of scenario.gateways) {
-      vi.spyOn(gateway.get('controlLinks'), 'askGrants').mockImplementation(async (wishes) => (
+      vi.spyOn(gateway.get('controlLinks'), 'requestGrants').mockImplementation(async (wishes) => (
         wishes.map(({ incarnation, requests }) => ({ incarnation, requests, withinMs: 500 }))
       ))
     }
@@ -87,16 +87,16 @@
   it('appears as a reason in the log, and as a limit in the status', async () => {
     await advertise(0.2)
     await scenario.sendFor(1000, 30)
-    const lines = scenario.deployment.lines.map((line) => JSON.parse(line) as Record<string, unknown>)
+    const lines = scenario.deployment.logLines.map((line) => JSON.parse(line) as Record<string, unknown>)
     expect(lines.some(({ why }) => String(why).endsWith('; excluded limited endpoints without a grant: 1'))).toBe(true)
     expect(lines.some(({ event, endpoint }) => event === 'limited' && endpoint === limited.incarnation)).toBe(true)
-    expect(scenario.gateways[1]?.get('limits').all()).toEqual([{ endpoint: limited.incarnation, perSecond: 0.2 }])
+    expect(scenario.gateways[1]?.get('limits').limitedEndpoints()).toEqual([{ endpoint: limited.incarnation, perSecond: 0.2 }])
   }, 40_000)
 
   it('ends with the incarnation that advertised the limit', async () => {
     const { leases } = scenario.deployment.control.services
     const [lease] = leases.toWire([leases.get(limited.incarnation)].filter((known) => known !== undefined))
-    if (lease !== undefined) await scenario.deployment.control.get('registrar').hear({ ...lease, sequence: lease.sequence + 1, state: 'gone', ageMs: 0 })
+    if (lease !== undefined) await scenario.deployment.control.get('registrar').receiveHeartbeat({ ...lease, sequence: lease.sequence + 1, state: 'gone', ageMs: 0 })
     await until('the end of the limit', () => isKnownEverywhere(undefined))
   })
 })
--- a/entry/gateway/test/limited-alternative.test.ts
+++ b/entry/gateway/test/limited-alternative.test.ts
@@ -13,9 +13,9 @@
 it('a slow call is not abandoned in favour of a limited endpoint without a grant', async () => {
   const { gateway, control } = scenario.deployment
   const now = performance.now()
-  control.get('registrar').hearLimits([{ incarnation: limited.incarnation, perSecond: 1, sentAgoMs: 0, heardAgoMs: 0 }])
-  gateway.get('view').leases.noteLimit(limited.incarnation, { perSecond: 1, sentAt: now, heardAt: now })
-  vi.spyOn(gateway.get('controlLinks'), 'askGrants').mockImplementation(async (wishes) => (
+  control.get('registrar').receiveLimits([{ incarnation: limited.incarnation, perSecond: 1, sentAgoMs: 0, heardAgoMs: 0 }])
+  gateway.get('view').leases.recordLimit(limited.incarnation, { perSecond: 1, sentAt: now, receivedAt: now })
+  vi.spyOn(gateway.get('controlLinks'), 'requestGrants').mockImplementation(async (wishes) => (
     wishes.map(({ incarnation }) => ({ incarnation, requests: 0, withinMs: 20, perSecond: 1 }))
   ))
   const replies = await scenario.sendFor(110, 20)
--- a/entry/gateway/test/notices.test.ts
+++ b/entry/gateway/test/notices.test.ts
@@ -7,7 +7,7 @@
 import { type GatewayServices } from '@gullwall/entry.gateway'
 import { type Kernel } from '@gullwall/core.kernel'
 import { until } from '@gullwall/bench.deployment'
-import { answerWell, GatewayDeployment, StandIn, type Behaviour } from './stand-in.ts'
+import { answerOk, GatewayDeployment, StubEndpoint, type Behaviour } from './gateway-deployment.ts'
 
 interface Reply {
   id: string
@@ -22,8 +22,8 @@
 /** Time over which the retries of refused callers are spread, in ms. */
 const RETRY_SPREAD_MS = 1000
 
-const engines = ['i-a', 'i-b', 'i-c'].map((incarnation) => new StandIn(incarnation, 'app'))
-const [a, b, c] = engines as [StandIn, StandIn, StandIn]
+const engines = ['i-a', 'i-b', 'i-c'].map((incarnation) => new StubEndpoint(incarnation, 'app'))
+const [a, b, c] = engines as [StubEndpoint, StubEndpoint, StubEndpoint]
 const deployment = new GatewayDeployment(engines)
 let ids = 0
 let starts = 0
@@ -52,15 +52,15 @@
 }
 
 const backoffs = () => deployment.gateway.get('notices').backoffs
-const backoffMs = ({ incarnation }: StandIn) => backoffs().remainingMs(incarnation)
+const backoffMs = ({ incarnation }: StubEndpoint) => backoffs().remainingMs(incarnation)
 
 /** Records a backoff that endpoints request, as a response with Retry-After does. */
-function backOff (ms: number, ...standIns: StandIn[]): void {
-  for (const { incarnation } of standIns) backoffs().note(incarnation, ms)
+function backOff (ms: number, ...standIns: StubEndpoint[]): void {
+  for (const { incarnation } of standIns) backoffs().recordBackoff(incarnation, ms)
 }
 
 /** Gives the process at an address a new incarnation without any notices. */
-async function restart (standIn: StandIn): Promise<void> {
+async function restart (standIn: StubEndpoint): Promise<void> {
   starts += 1
   Object.assign(standIn, { incarnation: `${standIn.incarnation.slice(0, 3)}-${starts}` })
   await deployment.register(standIn)
@@ -75,7 +75,7 @@
 afterEach(async () => {
   if (isDisconnected) return
   for (const engine of engines) {
-    engine.behaviour = answerWell
+    engine.behaviour = answerOk
     await restart(engine)
   }
 })
@@ -84,7 +84,7 @@
   it('whose maximum wait ends before the first backoff is refused at once without running, with a delay until that backoff ends', async () => {
     backOff(5000, a, b)
     backOff(3000, c)
-    const before = engines.reduce((sum, { arrived }) => sum + arrived.length, 0)
+    const before = engines.reduce((sum, { requestIds }) => sum + requestIds.length, 0)
     for (const path of ['/look-up/1', '/order/1', '/draft/1', '/scan/1']) {
       const { status, retryAfterMs, text, tookMs, id } = await send(path)
       expect(status, path).toBe(503)
@@ -92,10 +92,10 @@
       expect(retryAfterMs).toBeGreaterThanOrEqual(backoffMs(c))
       expect(retryAfterMs).toBeLessThanOrEqual(3000 + RETRY_SPREAD_MS)
       expect(tookMs).toBeLessThan(MAX_WAIT_MS)
-      expect(tellStory(deployment.lines.map((line) => JSON.parse(line) as LogLine), id).at(-1)).toMatchObject({ what: 'refuse' })
+      expect(tellStory(deployment.logLines.map((line) => JSON.parse(line) as LogLine), id).at(-1)).toMatchObject({ what: 'refuse' })
       expect(text).toContain('wants nothing for')
     }
-    expect(engines.reduce((sum, { arrived }) => sum + arrived.length, 0)).toBe(before)
+    expect(engines.reduce((sum, { requestIds }) => sum + requestIds.length, 0)).toBe(before)
   })
 
   it('whose maximum wait ends after the first backoff waits for that endpoint, and is served', async () => {
@@ -134,9 +134,9 @@
 
 describe('when a backoff ends', () => {
   /** Delays every response until `release` is called. */
-  function delayResponses (standIn: StandIn): { pendingCount: () => number, release: () => void } {
+  function delayResponses (standIn: StubEndpoint): { pendingCount: () => number, release: () => void } {
     const pending: Array<() => void> = []
-    standIn.behaviour = (incoming, response, body) => { pending.push(() => answerWell(incoming, response, body)) }
+    standIn.behaviour = (incoming, response, body) => { pending.push(() => answerOk(incoming, response, body)) }
     return { pendingCount: () => pending.length, release: () => { for (const respond of pending.splice(0)) respond() } }
   }
 
@@ -146,7 +146,7 @@
     const order: string[] = []
     c.behaviour = (incoming, response, body) => {
       order.push(incoming.url ?? '')
-      answerWell(incoming, response, body)
+      answerOk(incoming, response, body)
     }
     const sending = ['/look-up/1', '/look-up/2', '/look-up/3', '/look-up/4'].map(async (path) => await send(path))
     await Promise.all(sending)
@@ -217,18 +217,18 @@
 
   it('ends with the incarnation', async () => {
     const incarnationOf = (born: number) => ({ incarnation: `e@${born}`, life: { name: 'e', born } })
-    const sendHeartbeat = async (born: number) => await deployment.control.get('registrar').hear({
+    const sendHeartbeat = async (born: number) => await deployment.control.get('registrar').receiveHeartbeat({
       ...incarnationOf(born), service: 'app', address: c.address, dataCentre: 'dc1', slots: 4, state: 'ready', sequence: 1, ageMs: 0
     })
     backOff(60_000, a, b)
     await sendHeartbeat(1000)
-    await until('the first incarnation', () => deployment.gateway.get('view').takesWork('e@1000'))
+    await until('the first incarnation', () => deployment.gateway.get('view').acceptsRequests('e@1000'))
     c.behaviour = rejectWith('60')
     expect((await send()).status).toBe(503)
     expect(backoffs().remainingMs('e@1000')).toBeGreaterThan(50_000)
-    c.behaviour = answerWell
+    c.behaviour = answerOk
     await sendHeartbeat(2000)
-    await until('the second incarnation', () => deployment.gateway.get('view').takesWork('e@2000'))
+    await until('the second incarnation', () => deployment.gateway.get('view').acceptsRequests('e@2000'))
     expect((await send()).status).toBe(200)
   })
 
@@ -258,12 +258,12 @@
 
 describe('an endpoint that drains', () => {
   const draining = (behaviour: (incoming: IncomingMessage, response: ServerResponse, body: string) => void): Behaviour => behaviour
-  const isUsable = (gateway: Kernel<GatewayServices>, { incarnation }: StandIn) => gateway.get('view').takesWork(incarnation)
+  const isUsable = (gateway: Kernel<GatewayServices>, { incarnation }: StubEndpoint) => gateway.get('view').acceptsRequests(incarnation)
 
   it.each([
     ['a success', draining((incoming, response, body) => {
       response.setHeader('x-gullwall-draining', '1')
-      answerWell(incoming, response, body)
+      answerOk(incoming, response, body)
     })],
     ['a failure', draining((incoming, response) => {
       response.writeHead(500, headOf(incoming, { 'x-gullwall-draining': '1' }))
@@ -279,7 +279,7 @@
     })],
     ['an interim response', draining((incoming, response, body) => {
       response.writeEarlyHints({ link: '</x>', 'x-gullwall-draining': '1' })
-      answerWell(incoming, response, body)
+      answerOk(incoming, response, body)
     })],
     ['an incomplete response', draining((incoming, response) => {
       response.writeHead(200, headOf(incoming, { 'x-gullwall-draining': '1', 'content-length': '100' }))
@@ -299,13 +299,13 @@
   it('is reported again to a control process that lists the endpoint as ready', async () => {
     const { control, gateway } = deployment
     // The first report is lost with a link. The next leases that control sends show that it is missing.
-    vi.spyOn(gateway.get('controlLinks'), 'tellDraining').mockImplementationOnce(() => {})
+    vi.spyOn(gateway.get('controlLinks'), 'reportDraining').mockImplementationOnce(() => {})
     const { incarnation, service, address, dataCentre } = a
     const description = { incarnation, service, address, dataCentre, slots: 4 }
-    gateway.get('notices').take(description, { status: 200, sentAt: performance.now(), notices: { isDraining: true, backOffMs: undefined } })
+    gateway.get('notices').apply(description, { status: 200, sentAt: performance.now(), notices: { isDraining: true, backoffMs: undefined } })
     const lease = control.get('leases').get(incarnation)
     expect(lease?.state).toBe('ready')
-    if (lease !== undefined) control.get('registrar').changed([lease])
+    if (lease !== undefined) control.get('registrar').publishChanges([lease])
     await until('control to know', () => control.get('leases').get(incarnation)?.state === 'draining')
   })
 })
@@ -317,11 +317,11 @@
     backOff(60_000, c)
     a.behaviour = (incoming, response, body) => {
       response.setHeader('x-gullwall-draining', '1')
-      answerWell(incoming, response, body)
+      answerOk(incoming, response, body)
     }
     b.behaviour = rejectWith('30')
     for (let index = 0; index < 20; index += 1) await send()
-    expect([a, b].map(({ arrived }) => arrived.filter((id) => Number(id.split('-')[1]) > ids - 20).length)).toEqual([1, 1])
+    expect([a, b].map(({ requestIds }) => requestIds.filter((id) => Number(id.split('-')[1]) > ids - 20).length)).toEqual([1, 1])
     const metrics = await deployment.gateway.get('registry').metrics()
     expect(metrics).toMatch(/gullwall_draining_heard_total [1-9]/)
     expect(metrics).toMatch(/gullwall_unreadable_notices_total [1-9]/)
--- a/entry/gateway/test/held-request.test.ts
+++ b/entry/gateway/test/quarantined-request.test.ts
@@ -7,7 +7,7 @@
 import { type Kernel } from '@gullwall/core.kernel'
 import { until } from '@gullwall/bench.deployment'
 import { CrashingEngines } from './crashing-engines.ts'
-import { GatewayDeployment } from './stand-in.ts'
+import { GatewayDeployment } from './gateway-deployment.ts'
 
 const ENGINES = 6
 const CRASHING_BODY = 'a body that crashes every engine'
@@ -37,7 +37,7 @@
 
 const mainGateway = () => deployment.gateway
 const quarantinedCount = () => mainGateway().get('quarantine').size
-const logLines = () => deployment.lines.map((line) => JSON.parse(line) as LogLine)
+const logLines = () => deployment.logLines.map((line) => JSON.parse(line) as LogLine)
 const crashesUnder = (body: string) => engines.crashes.filter((running) => running.includes(body)).length
 
 /** Sends a request until it is quarantined. */
@@ -73,7 +73,7 @@
     await Promise.all(concurrent)
     expect(quarantinedCount()).toBe(1)
     expect(engines.crashes.some((running) => running.length > 1)).toBe(true)
-    await until('all engines', () => engines.up === ENGINES)
+    await until('all engines', () => engines.upCount === ENGINES)
     for (const body of bodies) expect((await send(mainGateway(), body)).status, body).toBe(200)
   })
 
@@ -109,7 +109,7 @@
   })
 
   it('is quarantined by a gateway that can reach no control process, from its own observations', async () => {
-    await until('all engines', () => engines.up === ENGINES)
+    await until('all engines', () => engines.upCount === ENGINES)
     await deployment.control.stop()
     for (let arrival = 0; arrival < 12; arrival += 1) {
       await send(mainGateway(), OTHER_CRASHING_BODY)
--- a/entry/gateway/test/rest-asked-for.test.ts
+++ b/entry/gateway/test/requested-backoff.test.ts
@@ -3,7 +3,7 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { afterAll, beforeAll, describe, expect, it } from 'vitest'
 import { request } from 'undici'
-import { answerWell, GatewayDeployment, StandIn, type Behaviour } from './stand-in.ts'
+import { answerOk, GatewayDeployment, StubEndpoint, type Behaviour } from './gateway-deployment.ts'
 
 const BACKOFF_S = 2
 /** Time for which requests in flight may still arrive after a notice, in ms. */
@@ -14,7 +14,7 @@
 const SPACING_MS = 33
 const RUN_MS = 100
 
-const engines = ['i-a', 'i-b', 'i-c'].map((incarnation) => new StandIn(incarnation, 'app'))
+const engines = ['i-a', 'i-b', 'i-c'].map((incarnation) => new StubEndpoint(incarnation, 'app'))
 const deployment = new GatewayDeployment(engines)
 let ids = 0
 
@@ -50,7 +50,7 @@
 
 const answerNow: Behaviour = (incoming, response, body) => {
   if (!/^\/(draft|scan)\//.test(incoming.url ?? '')) {
-    answerWell(incoming, response, body)
+    answerOk(incoming, response, body)
     return
   }
   response.writeHead(200, { 'content-type': 'text/event-stream', 'x-gullwall-request-id': String(incoming.headers['x-gullwall-request-id']) })
@@ -69,9 +69,9 @@
 
 describe('an endpoint that rejects a request and requests a backoff', () => {
   it('receives only requests that were in flight until the backoff has ended', async () => {
-    const [rejecting] = engines as [StandIn]
+    const [rejecting] = engines as [StubEndpoint]
     await sendFor(500)
-    expect(rejecting.arrived.length).toBeGreaterThan(0)
+    expect(rejecting.requestIds.length).toBeGreaterThan(0)
     const arrivals: number[] = []
     let requestedAt = 0
     rejecting.behaviour = (incoming, response) => {
@@ -93,7 +93,7 @@
 
 describe('an endpoint that announces in a response that it drains', () => {
   it('receives no later requests, even if its leases list it as ready', async () => {
-    const [, draining] = engines as [StandIn, StandIn]
+    const [, draining] = engines as [StubEndpoint, StubEndpoint]
     // Waits for the second backoff that the first engine requested when it was tried again: one engine alone has too little capacity.
     await sleep(1000 * BACKOFF_S)
     let announcedAt = 0
@@ -105,7 +105,7 @@
       answerLater(incoming, response, body)
     }
     const statuses = await sendFor(1500)
-    await deployment.control.get('registrar').hear({
+    await deployment.control.get('registrar').receiveHeartbeat({
       incarnation: 'i-b', service: 'app', address: draining.address, dataCentre: 'dc1', slots: 4, state: 'ready', sequence: 2, ageMs: 0
     })
     statuses.push(...await sendFor(500))
--- a/entry/gateway/test/resumed-after-rest.test.ts
+++ b/entry/gateway/test/resumed-after-backoff.test.ts
@@ -3,15 +3,15 @@
 import { afterAll, beforeAll, expect, it } from 'vitest'
 import { request } from 'undici'
 import { until } from '@gullwall/bench.deployment'
-import { GatewayDeployment, StandIn, type Behaviour } from './stand-in.ts'
+import { GatewayDeployment, StubEndpoint, type Behaviour } from './gateway-deployment.ts'
 
 const BACKOFF_MS = 500
 /** Delay of the response to a resumed stream, in ms; slow start admits the next stream only after that response. */
 const RESPONSE_DELAY_MS = 150
 const STREAMS = 3
 
-const first = new StandIn('i-first', 'app')
-const second = new StandIn('i-second', 'app')
+const first = new StubEndpoint('i-first', 'app')
+const second = new StubEndpoint('i-second', 'app')
 const deployment = new GatewayDeployment([first, second])
 
 const text = (from: number, to: number) => Array.from({ length: to - from + 1 }, (_, index) => `id: ${from + index}\ndata: x\n\n`).join('')
@@ -51,7 +51,7 @@
   const sending = Array.from({ length: STREAMS }, async (_, index) => await send(`request-${index}`))
   await until('all streams', () => begun.length === STREAMS)
   await deployment.register(second)
-  deployment.gateway.get('notices').backoffs.note(second.incarnation, BACKOFF_MS)
+  deployment.gateway.get('notices').backoffs.recordBackoff(second.incarnation, BACKOFF_MS)
   for (const response of begun) response.destroy()
   expect(await Promise.all(sending)).toEqual(Array.from({ length: STREAMS }, () => ({ status: 200, text: text(1, 4) })))
 })
