--- a/entry/gateway/src/attempt-policy.ts
+++ b/entry/gateway/src/attempt-policy.ts
@@ -59,30 +59,30 @@
 }
 
 /** Decides what follows an attempt, and records the attempt in the history of the request. */
-export function decideNextStep (state: RequestState, incarnation: string, end: AttemptOutcome, now = performance.now()): NextStep {
+export function decideNextStep (state: RequestState, incarnation: string, outcome: AttemptOutcome, now = performance.now()): NextStep {
   const { call, history } = state
-  switch (end.type) {
+  switch (outcome.type) {
     case 'answered':
     case 'cancelled':
       return { type: 'over' }
     case 'unsent':
       history.recordUnsent(incarnation)
-      return afterUnsent(state, end.reason, now)
+      return afterUnsent(state, outcome.reason, now)
     case 'withheld':
-      return { type: 'again', reason: `not sent: ${end.reason}`, budgetLeft: state.budget.remaining }
+      return { type: 'again', reason: `not sent: ${outcome.reason}`, budgetLeft: state.budget.remaining }
     case 'not-run':
       history.recordNotRun(incarnation)
-      return afterNotRun(state, end.reason)
+      return afterNotRun(state, outcome.reason)
     case 'failed':
       history.recordRun(incarnation)
       return isRepeatable(call)
-        ? retryOr(state, `answered ${end.head.status}`, (reason) => ({ type: 'pass-failure', head: end.head, body: end.body, reason }))
-        : { type: 'pass-failure', head: end.head, body: end.body, reason: 'the request runs at most once' }
+        ? retryOr(state, `answered ${outcome.head.status}`, (reason) => ({ type: 'pass-failure', head: outcome.head, body: outcome.body, reason }))
+        : { type: 'pass-failure', head: outcome.head, body: outcome.body, reason: 'the request runs at most once' }
     case 'broken':
       history.recordRun(incarnation)
       return isRepeatable(call)
-        ? retryOr(state, end.reason, (reason) => ({ type: 'fail', code: 'ERR_GULLWALL_BROKEN', reason }))
-        : { type: 'fail', code: 'ERR_GULLWALL_UNKNOWN_OUTCOME', reason: end.reason }
+        ? retryOr(state, outcome.reason, (reason) => ({ type: 'fail', code: 'ERR_GULLWALL_BROKEN', reason }))
+        : { type: 'fail', code: 'ERR_GULLWALL_UNKNOWN_OUTCOME', reason: outcome.reason }
   }
 }
 
--- a/entry/gateway/src/attempt-response-receiver.ts
+++ b/entry/gateway/src/attempt-response-receiver.ts
@@ -134,10 +134,10 @@
 }
 
 /** Returns what the outcome of an attempt says about the health of its endpoint. */
-export function verdictOf (end: AttemptOutcome): AttemptVerdict {
-  switch (end.type) {
+export function verdictOf (outcome: AttemptOutcome): AttemptVerdict {
+  switch (outcome.type) {
     case 'answered': return 'good'
-    case 'not-run': return end.verdict
+    case 'not-run': return outcome.verdict
     case 'unsent': return 'unreachable'
     case 'failed':
     case 'broken': return 'failed'
@@ -147,6 +147,6 @@
 }
 
 /** Whether the endpoint ran the request at least in part, or may have run it. */
-export function hasRun (end: AttemptOutcome): boolean {
-  return end.type === 'answered' || end.type === 'failed' || end.type === 'broken'
+export function hasRun (outcome: AttemptOutcome): boolean {
+  return outcome.type === 'answered' || outcome.type === 'failed' || outcome.type === 'broken'
 }
--- a/entry/gateway/src/caller-response.ts
+++ b/entry/gateway/src/caller-response.ts
@@ -70,13 +70,13 @@
   }
 
   /** Sends an error of this process. A response that has begun is aborted instead. */
-  sendError (answer: ErrorResponse): void {
+  sendError (error: ErrorResponse): void {
     if (this.isClosed) return
     if (this.hasBegun) {
       this.abort()
       return
     }
-    const { status, code, message, ran, retryAfterMs } = answer
+    const { status, code, message, ran, retryAfterMs } = error
     const body = Buffer.from(JSON.stringify({ error: { code, message, ran, requestId: this.requestId } }))
     const headers: Headers = { 'content-type': 'application/json' }
     if (retryAfterMs !== undefined) headers['retry-after'] = (retryAfterMs / 1000).toFixed(3)
--- a/entry/gateway/src/eligibility.ts
+++ b/entry/gateway/src/eligibility.ts
@@ -25,8 +25,8 @@
 /** Returns why a request may not be sent to a data centre; undefined if it may be. */
 export function findDataCentreRefusalReason ({ dataCentres }: EligibilityRules, dataCentre: string, call: Call): string | undefined {
   for (const rule of dataCentres) {
-    const why = rule(dataCentre, call)
-    if (why !== undefined) return why
+    const reason = rule(dataCentre, call)
+    if (reason !== undefined) return reason
   }
   return undefined
 }
@@ -34,8 +34,8 @@
 /** Returns why a request may not be sent to an endpoint of an allowed data centre; undefined if it may. */
 export function findEndpointRefusalReason ({ endpoints }: EligibilityRules, endpoint: EndpointState, call: Call): string | undefined {
   for (const rule of endpoints) {
-    const why = rule(endpoint, call)
-    if (why !== undefined) return why
+    const reason = rule(endpoint, call)
+    if (reason !== undefined) return reason
   }
   return undefined
 }
--- a/entry/gateway/src/endpoint-choice.ts
+++ b/entry/gateway/src/endpoint-choice.ts
@@ -46,7 +46,9 @@
     reserved: view.reserved.get(service)
   }
   const { endpoints, affinityEndpoints, copySources } = selectCandidates(choiceRequest, candidateScope(services, call, service))
-  const fullRequest: ChoiceRequest = { ...choiceRequest, affinityEndpoints, copySources: engine?.copiesPrefixes === true ? copySources : [] }
+  const fullRequest: ChoiceRequest = {
+    ...choiceRequest, affinityEndpoints, copySources: engine?.copiesPrefixes === true ? copySources : []
+  }
   const preferred = services.coldEndpoints.selectPreferred(endpoints, call)
   const candidate = choose(fullRequest, preferred, now, weights)
   return candidate ?? (preferred.length < endpoints.length ? choose(fullRequest, endpoints, now, weights) : undefined)
--- a/entry/gateway/src/endpoint-limits.ts
+++ b/entry/gateway/src/endpoint-limits.ts
@@ -35,10 +35,10 @@
   private readonly limits = new Map<string, number>()
   /** Limited endpoints that were excluded for each request. */
   private readonly excludedFor = new WeakMap<Call, Set<string>>()
-  private readonly purse: GrantPool
+  private readonly grantPool: GrantPool
 
   constructor (private readonly options: EndpointLimitsOptions) {
-    this.purse = options.grantPool
+    this.grantPool = options.grantPool
     this.grantRequester = new OnDemandRequester(options)
   }
 
@@ -62,7 +62,7 @@
   forget (incarnation: string): void {
     if (!this.limits.delete(incarnation)) return
     this.grantRequester.forget(incarnation)
-    this.purse.forget(incarnation)
+    this.grantPool.forget(incarnation)
   }
 
   /** Returns the limit of an endpoint in requests a second; undefined if it has none. */
@@ -92,12 +92,12 @@
   /** Returns the time until a request may use an endpoint or request a grant for it, in ms; 0 if it may now. */
   waitMs (incarnation: string): number {
     if (!this.limits.has(incarnation)) return 0
-    return this.purse.countAvailable(incarnation, this.options.now()) > 0 ? 0 : this.grantRequester.waitMs(incarnation)
+    return this.grantPool.countAvailable(incarnation, this.options.now()) > 0 ? 0 : this.grantRequester.waitMs(incarnation)
   }
 
   /** Whether a grant must be requested before a request is sent to an endpoint: the endpoint is limited and no grant is available. */
   needsGrant ({ description: { incarnation } }: EndpointState): boolean {
-    return this.limits.has(incarnation) && this.purse.countAvailable(incarnation, this.options.now()) === 0
+    return this.limits.has(incarnation) && this.grantPool.countAvailable(incarnation, this.options.now()) === 0
   }
 
   /** Requests a grant for one request; resolves when control has responded or the wait has timed out. */
@@ -109,7 +109,7 @@
 
   /** Uses a grant for one request that is sent now; undefined if none is available. */
   takeGrant (incarnation: string): ActiveGrant | undefined {
-    const grant = this.purse.takeGrant(incarnation, this.options.now())
+    const grant = this.grantPool.takeGrant(incarnation, this.options.now())
     if (grant !== undefined) this.totals.sent += 1
     return grant
   }
--- a/entry/gateway/src/endpoint-notices.ts
+++ b/entry/gateway/src/endpoint-notices.ts
@@ -74,7 +74,7 @@
   apply (sentTo: EndpointDescription, { status, sentAt, notices }: ReceivedNotices): void {
     const description = describeNotices(notices)
     const incarnation = this.findResponder(sentTo, status)
-    if (incarnation !== undefined && notices.limit !== undefined) this.noteLimit(incarnation, notices.limit, sentAt)
+    if (incarnation !== undefined && notices.limit !== undefined) this.recordLimit(incarnation, notices.limit, sentAt)
     if (description === undefined) return
     const why = `responded ${status}: ${description}`
     this.services.logger.sampled('notice', { channel: 'endpoint', event: 'notice', endpoint: incarnation ?? sentTo.address, why })
@@ -110,12 +110,12 @@
     return holder === incarnation ? undefined : holder
   }
 
-  private noteLimit (incarnation: string, { perSecond }: LimitNotice, sentAt: number): void {
+  private recordLimit (incarnation: string, { perSecond }: LimitNotice, sentAt: number): void {
     const { view, controlLinks } = this.services
-    const heardAt = performance.now()
-    const word = { perSecond, sentAt, receivedAt: heardAt }
+    const receivedAt = performance.now()
+    const word = { perSecond, sentAt, receivedAt }
     if (!view.leases.recordLimit(incarnation, word)) return
-    controlLinks.reportLimits([{ incarnation, ...limitToWire(word, heardAt) }])
+    controlLinks.reportLimits([{ incarnation, ...limitToWire(word, receivedAt) }])
     view.wake()
   }
 
--- a/entry/gateway/src/exchange.ts
+++ b/entry/gateway/src/exchange.ts
@@ -55,7 +55,7 @@
 
 export class Exchange {
   readonly outcome: Promise<ExchangeOutcome>
-  private settle!: (end: ExchangeOutcome) => void
+  private settle!: (outcome: ExchangeOutcome) => void
   private controller: Dispatcher.DispatchController | undefined
   private isOver = false
   private isFramed = true
@@ -86,8 +86,8 @@
   }
 
   /** Ends the exchange, so that another attempt can be made. */
-  abandon (why: string): void {
-    this.end(this.isSent ? { type: 'broken', reason: why, isClosed: false } : { type: 'unsent', reason: why })
+  abandon (reason: string): void {
+    this.end(this.isSent ? { type: 'broken', reason, isClosed: false } : { type: 'unsent', reason })
   }
 
   pause (): void {
@@ -103,12 +103,12 @@
     this.end(await wasClosedCleanly ? { type: 'complete' } : { type: 'broken', reason: 'the connection was reset', isClosed: true })
   }
 
-  private end (end: ExchangeOutcome): void {
+  private end (outcome: ExchangeOutcome): void {
     if (this.isOver) return
     this.isOver = true
     clearTimeout(this.connectTimer)
-    if (end.type !== 'complete') this.controller?.abort(new Error(end.type))
-    this.settle(end)
+    if (outcome.type !== 'complete') this.controller?.abort(new Error(outcome.type))
+    this.settle(outcome)
   }
 
   private handler ({ wasClosedCleanly, findRefusalReason }: ExchangeRequest, connectBy: number): Handler {
@@ -122,13 +122,13 @@
           return
         }
         clearTimeout(this.connectTimer)
-        const why = findRefusalReason()
-        if (why === undefined) {
+        const reason = findRefusalReason()
+        if (reason === undefined) {
           this.controller = controller
           this.sentAt = performance.now()
         } else {
-          this.end({ type: 'withheld', reason: why })
-          controller.abort(new Error(why))
+          this.end({ type: 'withheld', reason })
+          controller.abort(new Error(reason))
         }
       },
       onResponseStart: (_controller, status, headers) => {
@@ -146,8 +146,8 @@
         else void this.endUnframed(wasClosedCleanly())
       },
       onResponseError: (_controller, error) => {
-        const why = messageOf(error)
-        this.end(this.isSent ? { type: 'broken', reason: why, isClosed: true } : { type: 'unsent', reason: why, isRefused: isRefusal(error) })
+        const reason = messageOf(error)
+        this.end(this.isSent ? { type: 'broken', reason, isClosed: true } : { type: 'unsent', reason, isRefused: isRefusal(error) })
       }
     }
   }
--- a/entry/gateway/src/grant-requester.ts
+++ b/entry/gateway/src/grant-requester.ts
@@ -36,7 +36,7 @@
 export interface GrantRequesterOptions {
   box: string
   logger: Logger
-  requestGrants: (wishes: GrantRequest[]) => Promise<Grant[]>
+  requestGrants: (grantRequests: GrantRequest[]) => Promise<Grant[]>
   wake: () => void
   now: () => number
   grantPool: GrantPool
@@ -99,8 +99,8 @@
     this.isRequesting = true
     await Promise.resolve()
     const requestedAt = this.options.now()
-    const wishes = this.grantRequests(requestedAt)
-    if (wishes.length > 0) await this.send(wishes, requestedAt)
+    const grantRequests = this.collectGrantRequests(requestedAt)
+    if (grantRequests.length > 0) await this.send(grantRequests, requestedAt)
     else this.nextRequestAt = requestedAt + IDLE_SPACING_MS
     this.isRequesting = false
     this.scheduleWake()
@@ -119,17 +119,17 @@
     clearTimeout(this.timer)
   }
 
-  private async send (wishes: GrantRequest[], requestedAt: number): Promise<void> {
+  private async send (grantRequests: GrantRequest[], requestedAt: number): Promise<void> {
     const { requestGrants, wake, logger, now, entryCount } = this.options
     this.totals.requests += 1
     this.nextRequestAt = requestedAt + Math.max(MIN_SPACING_MS, grantRequestSpacingMs(entryCount()))
     try {
-      for (const grant of await requestGrants(wishes)) this.recordGrant(grant, requestedAt)
+      for (const grant of await requestGrants(grantRequests)) this.recordGrant(grant, requestedAt)
       wake()
     } catch (error) {
       this.totals.failed += 1
       this.nextRequestAt = now() + FAILED_SPACING_MS
-      logger.sampled('not-granted', { channel: 'endpoint', event: 'not-granted', endpoint: wishes[0]?.incarnation ?? '', why: messageOf(error) })
+      logger.sampled('not-granted', { channel: 'endpoint', event: 'not-granted', endpoint: grantRequests[0]?.incarnation ?? '', why: messageOf(error) })
     }
   }
 
@@ -145,18 +145,20 @@
   }
 
   /** Returns the grants to request: the recent demand minus the available grants, at the endpoints that this box prefers. */
-  private grantRequests (now: number): GrantRequest[] {
-    const wishes: GrantRequest[] = []
+  private collectGrantRequests (now: number): GrantRequest[] {
+    const grantRequests: GrantRequest[] = []
     const missing = this.missing(now)
     for (const wanted of this.requestable(now)) {
       const requests = Math.min(MAX_REQUESTS, missing.get(wanted.service) ?? 0)
       if (requests <= 0) continue
-      if (wishes.length === MAX_ENDPOINTS) break
+      if (grantRequests.length === MAX_ENDPOINTS) break
       missing.set(wanted.service, (missing.get(wanted.service) ?? 0) - requests)
       const perSecond = this.options.advertisedLimitOf?.(wanted.incarnation)
-      wishes.push({ incarnation: wanted.incarnation, service: wanted.service, requests, ...(perSecond === undefined ? {} : { perSecond }) })
+      grantRequests.push({
+        incarnation: wanted.incarnation, service: wanted.service, requests, ...(perSecond === undefined ? {} : { perSecond })
+      })
     }
-    return wishes
+    return grantRequests
   }
 
   /** Returns how many grants each service lacks; 0 for a service whose available grants suffice. */
--- a/entry/gateway/src/ingress.ts
+++ b/entry/gateway/src/ingress.ts
@@ -99,13 +99,13 @@
     const arrivedAt = performance.now()
     const { services } = this
     const requestId = services.dialect.readCall(request.headers).requestId
-    const answer = new CallerResponse(response, requestId, () => this.isStopping)
+    const callerResponse = new CallerResponse(response, requestId, () => this.isStopping)
     this.inFlight += 1
     try {
-      await this.serveWith(request, answer, requestId, arrivedAt)
+      await this.serveWith(request, callerResponse, requestId, arrivedAt)
     } catch (error) {
       services.logger.error({ channel: 'process', event: 'failed', why: `request ${requestId}: ${messageOf(error)}` })
-      answer.sendError({ status: 500, code: 'ERR_GULLWALL_UNEXPECTED', message: 'unexpected error', ran: 'unknown' })
+      callerResponse.sendError({ status: 500, code: 'ERR_GULLWALL_UNEXPECTED', message: 'unexpected error', ran: 'unknown' })
     } finally {
       this.inFlight -= 1
       // A response that began before the stop has no `connection: close` header.
@@ -113,15 +113,15 @@
     }
   }
 
-  private async serveWith (request: IncomingMessage, answer: CallerResponse, requestId: string, arrivedAt: number): Promise<void> {
+  private async serveWith (request: IncomingMessage, callerResponse: CallerResponse, requestId: string, arrivedAt: number): Promise<void> {
     const { view, dialect, controlLinks } = this.services
     const body = await readBody(request, view.table?.document.limits.maxBodyBytes ?? DEFAULT_MAX_BODY_BYTES)
-    if (body === 'left') return
+    if (body === 'disconnected') return
     if (this.isRefusingAll) {
       const error: ErrorResponse = {
         status: 503, code: 'ERR_GULLWALL_STOPPING', message: 'this process is stopping', ran: 'no', retryAfterMs: STOPPING_RETRY_MS
       }
-      this.refuse(answer, requestId, error)
+      this.refuse(callerResponse, requestId, error)
       return
     }
     await this.waitUntilReady(holdDeadline(arrivedAt, this.services.startedAt))
@@ -129,19 +129,19 @@
     const notReady = controlLinks.findNotReadyReason()
     if (table === undefined || notReady !== undefined) {
       const message = notReady ?? 'not ready'
-      this.refuse(answer, requestId, { status: 503, code: 'ERR_GULLWALL_NOT_READY', message, ran: 'no', retryAfterMs: NOT_READY_RETRY_MS })
+      this.refuse(callerResponse, requestId, { status: 503, code: 'ERR_GULLWALL_NOT_READY', message, ran: 'no', retryAfterMs: NOT_READY_RETRY_MS })
       return
     }
     if (body === 'too large') {
-      this.refuse(answer, requestId, { status: 413, code: 'ERR_GULLWALL_TOO_LARGE', message: 'the body is too large', ran: 'no' })
+      this.refuse(callerResponse, requestId, { status: 413, code: 'ERR_GULLWALL_TOO_LARGE', message: 'the body is too large', ran: 'no' })
       return
     }
     const call = resolveCall({ request, body, table, dialect, arrivedAt })
     if (isRefusal(call)) {
-      this.refuse(answer, requestId, { ...call, ran: 'no' })
+      this.refuse(callerResponse, requestId, { ...call, ran: 'no' })
       return
     }
-    await new RequestForwarder(this.services, call, answer).run()
+    await new RequestForwarder(this.services, call, callerResponse).run()
   }
 
   /** Waits until this process is ready, at most until `endsAt` by the monotonic clock. */
@@ -150,7 +150,7 @@
     while (controlLinks.findNotReadyReason() !== undefined && performance.now() < endsAt) await view.waitForChange(POLL_INTERVAL_MS)
   }
 
-  private refuse (answer: CallerResponse, requestId: string, error: ErrorResponse): void {
+  private refuse (callerResponse: CallerResponse, requestId: string, error: ErrorResponse): void {
     const { logger, view, metrics } = this.services
     metrics.requests.inc({ route: '', outcome: `refused-${error.status}` })
     logger.sampled(`refuse ${error.status}`, {
@@ -166,7 +166,7 @@
       elapsedMs: 0,
       why: `${error.status} ${error.code}: ${error.message}`
     })
-    answer.sendError(error)
+    callerResponse.sendError(error)
   }
 }
 
@@ -174,8 +174,8 @@
   return 'status' in value
 }
 
-/** Reads the complete body; undefined if the request has none, 'left' if the caller disconnected. */
-async function readBody (request: IncomingMessage, maxBytes: number): Promise<Buffer | undefined | 'too large' | 'left'> {
+/** Reads the complete body; undefined if the request has none, 'disconnected' if the caller disconnected. */
+async function readBody (request: IncomingMessage, maxBytes: number): Promise<Buffer | undefined | 'too large' | 'disconnected'> {
   const chunks: Buffer[] = []
   let bytes = 0
   try {
@@ -184,7 +184,7 @@
       if (bytes <= maxBytes) chunks.push(chunk)
     }
   } catch {
-    return 'left'
+    return 'disconnected'
   }
   if (bytes > maxBytes) return 'too large'
   const hasBody = request.headers['content-length'] !== undefined || request.headers['transfer-encoding'] !== undefined
--- a/entry/gateway/src/on-demand-requester.ts
+++ b/entry/gateway/src/on-demand-requester.ts
@@ -19,7 +19,7 @@
 
 export interface OnDemandRequesterOptions {
   logger: Logger
-  requestGrants: (wishes: GrantRequest[]) => Promise<Grant[]>
+  requestGrants: (grantRequests: GrantRequest[]) => Promise<Grant[]>
   /** Wakes the requests that wait for an endpoint. */
   wake: () => void
   now: () => number
--- a/entry/gateway/src/quarantine.ts
+++ b/entry/gateway/src/quarantine.ts
@@ -12,7 +12,7 @@
 export class Quarantine {
   /** Number of quarantined requests that were refused since the start. */
   refusedCount = 0
-  private readonly watch: CrashDetector
+  private readonly detector: CrashDetector
   private readonly reporter: CrashReporter
   /** Fingerprints of the quarantined requests. */
   private quarantined: ReadonlySet<string> = new Set()
@@ -20,7 +20,7 @@
   constructor (private readonly services: Pick<GatewayServices, 'store' | 'view' | 'logger' | 'controlLinks'>) {
     const { store, view, logger, controlLinks } = services
     this.reporter = new CrashReporter({ logger, sendReport: async (report) => await controlLinks.reportCrashes(report) })
-    this.watch = new CrashDetector({
+    this.detector = new CrashDetector({
       getLeaseState: (incarnation) => view.leases.stateOf(incarnation),
       isReplaced: (incarnation) => view.leases.isReplaced(incarnation),
       onCrash: (endpoint, requests) => this.recordCrash(endpoint, requests)
@@ -30,11 +30,11 @@
   }
 
   start (): void {
-    this.watch.start()
+    this.detector.start()
   }
 
   stop (): void {
-    this.watch.stop()
+    this.detector.stop()
     this.reporter.stop()
   }
 
@@ -58,16 +58,16 @@
   }
 
   /** Records what the outcome of an attempt shows: the endpoint may have crashed, has ended, or is still running. */
-  recordOutcome (endpoint: EndpointState, call: Call, end: AttemptOutcome): void {
-    if (end.type === 'broken' && end.isClosed) this.recordBrokenAttempt(endpoint, call)
-    if ((end.type === 'unsent' && end.isRefused === true) || verdictOf(end) === 'ended') this.watch.recordProcessEnd(endpoint.description.incarnation)
-    if (end.type === 'answered' || end.type === 'failed') this.reporter.recordSuccess(call.fingerprint)
+  recordOutcome (endpoint: EndpointState, call: Call, outcome: AttemptOutcome): void {
+    if (outcome.type === 'broken' && outcome.isClosed) this.recordBroken(endpoint, call)
+    if ((outcome.type === 'unsent' && outcome.isRefused === true) || verdictOf(outcome) === 'ended') this.detector.recordProcessEnd(endpoint.description.incarnation)
+    if (outcome.type === 'answered' || outcome.type === 'failed') this.reporter.recordSuccess(call.fingerprint)
   }
 
   /** Records that the connection to an endpoint was lost while a request was running there. */
-  private recordBrokenAttempt ({ description: { incarnation, address }, lastReceivedAt }: EndpointState, { requestId, fingerprint }: Call): void {
+  private recordBroken ({ description: { incarnation, address }, lastReceivedAt }: EndpointState, { requestId, fingerprint }: Call): void {
     const silentMs = Math.min(performance.now() - lastReceivedAt, this.services.view.leases.silentMs(incarnation))
-    this.watch.recordBrokenConnection({ incarnation, address, silentMs }, { requestId, fingerprint: fingerprint() })
+    this.detector.recordBrokenConnection({ incarnation, address, silentMs }, { requestId, fingerprint: fingerprint() })
   }
 
   private recordCrash (endpoint: string, requests: InterruptedRequest[]): void {
--- a/entry/gateway/src/request-forwarder.ts
+++ b/entry/gateway/src/request-forwarder.ts
@@ -31,7 +31,7 @@
 /** An attempt that is ready to be sent. */
 interface Attempt {
   candidate: Candidate
-  leave: SendPermit
+  permit: SendPermit
 }
 
 export class RequestForwarder {
@@ -60,24 +60,24 @@
     this.services.view.reserved.recordRequest({ route: call.route.name }, call.prompt.at(-1)?.tokens ?? 0)
     await yieldToIo()
     this.answer.onDisconnected(() => this.cancel())
-    this.deadlineTimer = setTimeout(() => this.deadlinePassed(), call.deadline - performance.now())
+    this.deadlineTimer = setTimeout(() => this.handleTimeout(), call.deadline - performance.now())
     try {
-      await this.attempts()
+      await this.runAttempts()
     } finally {
       clearTimeout(this.deadlineTimer)
     }
   }
 
-  private async attempts (): Promise<void> {
+  private async runAttempts (): Promise<void> {
     const permanentReason = findPermanentRefusalReason(this.services, this.call)
     if (permanentReason !== undefined) this.refuse(permanentReason)
     while (!this.isOver) {
       if (this.refuseIfQuarantined()) return
       if (remainingMs(this.call) <= 0) {
-        this.deadlinePassed()
+        this.handleTimeout()
         return
       }
-      const candidate = await this.nextCandidate()
+      const candidate = await this.findCandidate()
       if (this.isOver || this.refuseIfQuarantined()) return
       if (candidate === undefined) {
         this.refuse(findNoEndpointReason(this.choiceOptions))
@@ -91,11 +91,11 @@
       const { limits } = this.services
       if (limits.needsGrant(candidate.endpoint)) await limits.requestGrant(candidate.endpoint)
       if (this.isOver) return
-      const leave = acquireSendPermit(this.services, candidate.endpoint)
-      if (leave === undefined) continue
-      const end = await this.attempt({ candidate, leave })
+      const permit = acquireSendPermit(this.services, candidate.endpoint)
+      if (permit === undefined) continue
+      const outcome = await this.runAttempt({ candidate, permit })
       if (this.isOver) return
-      this.follow(decideNextStep(this.state, candidate.endpoint.description.incarnation, end))
+      this.applyStep(decideNextStep(this.state, candidate.endpoint.description.incarnation, outcome))
     }
   }
 
@@ -121,7 +121,7 @@
   }
 
   /** Chooses an endpoint. If none is known or has capacity, waits for one for a limited time. */
-  private async nextCandidate (): Promise<Candidate | undefined> {
+  private async findCandidate (): Promise<Candidate | undefined> {
     const { call, services, history } = this
     // A request that may have run can't be refused; it fails if no endpoint accepts it.
     if (history.mayHaveRun && this.hasUntried) this.resumedAt ??= performance.now()
@@ -148,7 +148,7 @@
     return usable.some(({ description }) => !history.excluded.has(description.incarnation))
   }
 
-  private async attempt ({ candidate, leave }: Attempt): Promise<AttemptOutcome> {
+  private async runAttempt ({ candidate, permit }: Attempt): Promise<AttemptOutcome> {
     const { call, services } = this
     const { endpoint, unreadTokens, urgency } = candidate
     this.resumedAt = undefined
@@ -162,29 +162,29 @@
       isPauseSensitive: isPauseSensitive(services, call, endpoint.description.service),
       outputTokens: estimateOutputTokens(services, call)
     }
-    const work = endpoint.begin(sent, performance.now())
+    const inFlightRequest = endpoint.begin(sent, performance.now())
     services.loadExchange.recordSent(unreadTokens)
     this.recorder.recordDispatch(candidate)
     const recordResponseBytes = services.crossRegionTraffic.beginRequest(call, endpoint)
-    const receiver = new AttemptResponseReceiver(this, work, candidate, leave.backoffPermit)
-    const exchange = this.send(candidate, receiver, leave)
+    const receiver = new AttemptResponseReceiver(this, inFlightRequest, candidate, permit.backoffPermit)
+    const exchange = this.send(candidate, receiver, permit)
     this.exchange = exchange
-    const watch = setInterval(() => this.watch(candidate, work), WATCH_INTERVAL_MS)
-    const end = receiver.finish(await exchange.outcome)
-    clearInterval(watch)
-    leave.backoffPermit.release()
+    const watchTimer = setInterval(() => this.checkAttempt(candidate, inFlightRequest), WATCH_INTERVAL_MS)
+    const outcome = receiver.finish(await exchange.outcome)
+    clearInterval(watchTimer)
+    permit.backoffPermit.release()
     recordResponseBytes(receiver.receivedBytes)
-    const verdict = verdictOf(end)
-    if (call.route.kind !== 'stream' && hasRun(end)) this.recordUsage(work.startedAt)
-    endpoint.end(work, verdict, performance.now())
+    const verdict = verdictOf(outcome)
+    if (call.route.kind !== 'stream' && hasRun(outcome)) this.recordUsage(inFlightRequest.startedAt)
+    endpoint.end(inFlightRequest, verdict, performance.now())
     if (verdict === 'unreachable' || verdict === 'ended') services.loadExchange.recordUnreachable()
     services.view.wake()
-    if (end.type === 'broken') this.recorder.includeFingerprint()
-    services.quarantine.recordOutcome(endpoint, call, end)
-    return end
+    if (outcome.type === 'broken') this.recorder.includeFingerprint()
+    services.quarantine.recordOutcome(endpoint, call, outcome)
+    return outcome
   }
 
-  private send (candidate: Candidate, receiver: AttemptResponseReceiver, leave: SendPermit): Exchange {
+  private send (candidate: Candidate, receiver: AttemptResponseReceiver, permit: SendPermit): Exchange {
     const { call, services } = this
     const { description } = candidate.endpoint
     const service = services.view.table?.service(description.service)
@@ -197,17 +197,17 @@
       headers: this.headersFor(candidate),
       body: call.body,
       connectMs: CONNECT_TIMEOUT_MS,
-      findRefusalReason: () => this.findRefusalReason(candidate, leave),
+      findRefusalReason: () => this.findRefusalReason(candidate, permit),
       wasClosedCleanly: async () => await services.connections.wasClosedCleanly()
     }, receiver)
   }
 
   /** Returns why the request may no longer be sent when a connection is available; undefined if it may. */
-  private findRefusalReason ({ endpoint }: Candidate, leave: SendPermit): string | undefined {
+  private findRefusalReason ({ endpoint }: Candidate, permit: SendPermit): string | undefined {
     const { services, call } = this
     return findDataCentreRefusalReason(services.eligibility, endpoint.description.dataCentre, call) ??
       services.quarantine.findRefusalReason(call) ??
-      services.notices.findRefusalReason(endpoint) ?? findSendRefusalReason(services, endpoint, leave)
+      services.notices.findRefusalReason(endpoint) ?? findSendRefusalReason(services, endpoint, permit)
   }
 
   private headersFor ({ endpoint, source, urgency }: Candidate): string[] {
@@ -223,7 +223,7 @@
   }
 
   /** Carries out the step that was decided after an attempt. */
-  private follow (step: NextStep): void {
+  private applyStep (step: NextStep): void {
     switch (step.type) {
       case 'over':
         this.isOver = true
@@ -251,18 +251,18 @@
   }
 
   /** Checks a running attempt at each interval: ends it at the deadline, and abandons it if its endpoint does not respond. */
-  private watch (candidate: Candidate, work: InFlightRequest): void {
+  private checkAttempt (candidate: Candidate, inFlightRequest: InFlightRequest): void {
     const { exchange, recorder } = this
     if (this.isOver || exchange === undefined) return
     // The deadline timer fires late if the box was suspended.
     if (remainingMs(this.call) <= 0) {
-      this.deadlinePassed()
+      this.handleTimeout()
       return
     }
     const running = {
       ...this.state,
       candidate,
-      inFlightRequest: work,
+      inFlightRequest,
       lastProgressAt: recorder.latestEventAt,
       hasAlternative: () => hasAlternative(this.choiceOptions, candidate.endpoint)
     }
@@ -307,7 +307,7 @@
     return { call: this.call, answer: this.answer, services: this.services }
   }
 
-  /** Ends the request of a caller that has disconnected. */
+  /** Cancels the request of a caller that has disconnected. */
   private cancel (): void {
     if (this.isOver) return
     this.isOver = true
@@ -315,7 +315,7 @@
     this.recorder.recordEnd('cancel', 'left', 'the caller disconnected')
   }
 
-  private deadlinePassed (): void {
+  private handleTimeout (): void {
     if (this.isOver) return
     const wasSent = this.history.mayHaveRun || this.exchange?.isSent === true
     this.exchange?.cancel()
@@ -336,10 +336,10 @@
     this.end({ status, code, message: why, ran: this.answer.hasBegun ? 'partly' : 'unknown' }, 'fail')
   }
 
-  private end (answer: ErrorResponse, decision: 'refuse' | 'fail'): void {
+  private end (error: ErrorResponse, decision: 'refuse' | 'fail'): void {
     this.isOver = true
-    const outcome = decision === 'refuse' ? 'refused' : `error-${answer.status}`
-    this.recorder.recordEnd(decision, outcome, `${answer.status} ${answer.code}: ${answer.message}`)
-    this.answer.sendError(answer)
+    const outcome = decision === 'refuse' ? 'refused' : `error-${error.status}`
+    this.recorder.recordEnd(decision, outcome, `${error.status} ${error.code}: ${error.message}`)
+    this.answer.sendError(error)
   }
 }
--- a/entry/gateway/src/request-recorder.ts
+++ b/entry/gateway/src/request-recorder.ts
@@ -22,7 +22,10 @@
   recordDispatch (candidate: Candidate): void {
     const { call, history, services } = this
     this.latest = candidate
-    const record = { ...this.record('dispatch'), why: describeChoice(candidate) + services.coldEndpoints.describeExcluded(call) + services.limits.describeExcluded(call) }
+    const record = {
+      ...this.record('dispatch'),
+      why: describeChoice(candidate) + services.coldEndpoints.describeExcluded(call) + services.limits.describeExcluded(call)
+    }
     if (history.isFirst) {
       services.metrics.queued.observe({ route: call.route.name }, this.elapsedMs / 1000)
       services.logger.sampled(candidate.crossRegion === undefined ? 'dispatch' : 'leave', record)
@@ -63,11 +66,13 @@
   }
 
   /** Records the end of a request without a complete response. */
-  recordEnd (decision: 'refuse' | 'fail' | 'cancel', outcome: string, why: string): void {
+  recordEnd (decision: 'refuse' | 'fail' | 'cancel', outcome: string, reason: string): void {
     this.count(outcome)
     const { logger, coldEndpoints, limits } = this.services
     logger.info({
-      ...this.record(decision), ...this.timing(), why: why + coldEndpoints.describeExcluded(this.call) + limits.describeExcluded(this.call)
+      ...this.record(decision),
+      ...this.timing(),
+      why: reason + coldEndpoints.describeExcluded(this.call) + limits.describeExcluded(this.call)
     })
   }
 
@@ -137,8 +142,8 @@
 
 /** Describes why an endpoint was chosen. */
 function describeChoice ({ isAffinityEndpoint, crossRegion }: Candidate): string {
-  if (crossRegion === undefined) return isAffinityEndpoint ? 'home of its prompt' : 'least cost'
+  if (crossRegion === undefined) return isAffinityEndpoint ? 'affinity endpoint of its prompt' : 'least cost'
   const { region, costMs, localCost } = crossRegion
-  const stay = localCost === undefined ? 'no endpoint there takes it' : `staying costs ${Math.round(localCost)}`
-  return `leaves its region for ${region}: ${stay}, the way ${Math.round(costMs)} of the cost`
+  const local = localCost === undefined ? 'no endpoint of its own region accepts it' : `the best of its own region costs ${Math.round(localCost)}`
+  return `sent to region ${region}: ${local}; distance is ${Math.round(costMs)} of the cost`
 }
