--- a/entry/gateway/src/endpoint-notices.ts
+++ b/entry/gateway/src/endpoint-notices.ts
@@ -17,7 +17,7 @@
 /** Maximum number of draining endpoints that are remembered, to report them again if control lists them as ready; the oldest is dropped. */
 const MAX_DRAINING = 4096
 
-type LimitReport = MessageOf<'limits'>['limits'][number]
+type EndpointLimitReport = MessageOf<'limits'>['limits'][number]
 
 /** Counts of notices since the start, for the metrics. */
 export interface NoticeTotals {
@@ -47,7 +47,7 @@
     const { logger } = services
     this.backoffs = new BackoffTable({
       onPermitsAvailable: () => { void this.wakeSoon() },
-      onTransition: (endpoint, turn) => logger.sampled(`backoff ${turn.event}`, createTransitionRecord(endpoint, turn))
+      onTransition: (endpoint, transition) => logger.sampled(`backoff ${transition.event}`, createTransitionRecord(endpoint, transition))
     })
   }
 
@@ -86,7 +86,7 @@
   }
 
   /** Returns the limits known here that differ from those in the leases of a control process. */
-  findLimitsToReport (leases: readonly Lease[]): LimitReport[] {
+  findLimitsToReport (leases: readonly Lease[]): EndpointLimitReport[] {
     const now = performance.now()
     return leases.flatMap(({ incarnation, limit }) => {
       const known = this.services.view.leases.get(incarnation)?.limit
--- a/entry/gateway/test/attempts.fuzz.test.ts
+++ b/entry/gateway/test/attempts.fuzz.test.ts
@@ -58,12 +58,12 @@
   return Array.from({ length: EVENTS - after }, (_, index) => `id: ${after + index + 1}\ndata: ${after + index + 1}\n\n`).join('')
 }
 
-const standIns = [new StubEndpoint('i-1', 'app', behave), new StubEndpoint('i-2', 'app', behave), new StubEndpoint('i-3', 'app', behave)]
-const deployment = new GatewayDeployment(standIns)
+const endpoints = [new StubEndpoint('i-1', 'app', behave), new StubEndpoint('i-2', 'app', behave), new StubEndpoint('i-3', 'app', behave)]
+const deployment = new GatewayDeployment(endpoints)
 
 beforeAll(async () => {
   await deployment.start()
-  for (const standIn of standIns) await deployment.register(standIn)
+  for (const endpoint of endpoints) await deployment.register(endpoint)
   await deployment.configure(1)
 })
 afterAll(async () => await deployment.stop())
--- a/entry/gateway/test/caller-disconnected.test.ts
+++ b/entry/gateway/test/caller-disconnected.test.ts
@@ -6,12 +6,12 @@
 /** Time in which a request would reach its endpoint, in ms. */
 const SETTLE_MS = 300
 
-const standIn = new StubEndpoint('i-only', 'app')
-const deployment = new GatewayDeployment([standIn])
+const endpoint = new StubEndpoint('i-only', 'app')
+const deployment = new GatewayDeployment([endpoint])
 
 beforeAll(async () => {
   await deployment.start()
-  await deployment.register(standIn)
+  await deployment.register(endpoint)
   await deployment.configure(1)
 })
 afterAll(async () => await deployment.stop())
@@ -27,5 +27,5 @@
 it('a request whose caller disconnected before this process read the request is not sent to any endpoint', async () => {
   sendWhileBlocked('disconnected')
   await sleep(SETTLE_MS)
-  expect(standIn.requestIds).not.toContain('disconnected')
+  expect(endpoint.requestIds).not.toContain('disconnected')
 })
--- a/entry/gateway/test/crashing-engines.ts
+++ b/entry/gateway/test/crashing-engines.ts
@@ -20,7 +20,7 @@
   readonly crashes: string[][] = []
   /** The bodies that were run, with the start times. */
   readonly runs: Array<{ body: string, at: number }> = []
-  private readonly slots: Array<{ standIn: StubEndpoint, running: string[], sequence: number }> = []
+  private readonly slots: Array<{ endpoint: StubEndpoint, running: string[], sequence: number }> = []
   private starts = 0
   private isOver = false
   private timer: NodeJS.Timeout | undefined
@@ -36,20 +36,20 @@
   stop (): void {
     this.isOver = true
     clearInterval(this.timer)
-    for (const { standIn } of this.slots) standIn.stop()
+    for (const { endpoint } of this.slots) endpoint.stop()
   }
 
   /** Number of processes that are running. */
   get upCount (): number {
-    return this.slots.filter(({ standIn }) => standIn.isListening).length
+    return this.slots.filter(({ endpoint }) => endpoint.isListening).length
   }
 
   /** Crashes the process in a slot, whatever it runs. */
   crash (slot: number): void {
-    const { standIn, running } = this.slots[slot] ?? this.missing(slot)
-    if (!standIn.isListening) return
+    const { endpoint, running } = this.slots[slot] ?? this.missing(slot)
+    if (!endpoint.isListening) return
     this.crashes.push([...running])
-    standIn.stop()
+    endpoint.stop()
     void this.restartLater(slot)
   }
 
@@ -61,21 +61,21 @@
   private async startAt (slot: number): Promise<void> {
     this.starts += 1
     const running: string[] = []
-    const standIn = new StubEndpoint(`i-${slot}-${this.starts}`, 'app', (request, response, body) => {
+    const endpoint = new StubEndpoint(`i-${slot}-${this.starts}`, 'app', (request, response, body) => {
       void this.run({ slot, running, request, response, body })
     })
-    const port = Number(this.slots[slot]?.standIn.address.split(':')[1] ?? 0)
-    await standIn.start(port)
-    this.slots[slot] = { standIn, running, sequence: 0 }
+    const port = Number(this.slots[slot]?.endpoint.address.split(':')[1] ?? 0)
+    await endpoint.start(port)
+    this.slots[slot] = { endpoint, running, sequence: 0 }
     await this.sendHeartbeats(slot)
   }
 
   /** Sends heartbeats for all running engines, or only for the one in a slot. */
   private async sendHeartbeats (only?: number): Promise<void> {
     for (const [slot, known] of this.slots.entries()) {
-      if (!known.standIn.isListening || (only !== undefined && only !== slot)) continue
+      if (!known.endpoint.isListening || (only !== undefined && only !== slot)) continue
       known.sequence += 1
-      const { incarnation, service, address, dataCentre } = known.standIn
+      const { incarnation, service, address, dataCentre } = known.endpoint
       await this.deployment.control.get('registrar').receiveHeartbeat({
         incarnation, service, address, dataCentre, slots: 4, state: 'ready', sequence: known.sequence, ageMs: 0
       })
--- a/entry/gateway/test/limit-propagation.test.ts
+++ b/entry/gateway/test/limit-propagation.test.ts
@@ -73,8 +73,8 @@
 
   it('is enforced if control does not support limits: no request is sent under grants without a limit', async () => {
     for (const gateway of scenario.gateways) {
-      vi.spyOn(gateway.get('controlLinks'), 'requestGrants').mockImplementation(async (wishes) => (
-        wishes.map(({ incarnation, requests }) => ({ incarnation, requests, withinMs: 500 }))
+      vi.spyOn(gateway.get('controlLinks'), 'requestGrants').mockImplementation(async (grantRequests) => (
+        grantRequests.map(({ incarnation, requests }) => ({ incarnation, requests, withinMs: 500 }))
       ))
     }
     await scenario.sendFor(500, 30)
--- a/entry/gateway/test/limited-alternative.test.ts
+++ b/entry/gateway/test/limited-alternative.test.ts
@@ -15,8 +15,8 @@
   const now = performance.now()
   control.get('registrar').receiveLimits([{ incarnation: limited.incarnation, perSecond: 1, sentAgoMs: 0, heardAgoMs: 0 }])
   gateway.get('view').leases.recordLimit(limited.incarnation, { perSecond: 1, sentAt: now, receivedAt: now })
-  vi.spyOn(gateway.get('controlLinks'), 'requestGrants').mockImplementation(async (wishes) => (
-    wishes.map(({ incarnation }) => ({ incarnation, requests: 0, withinMs: 20, perSecond: 1 }))
+  vi.spyOn(gateway.get('controlLinks'), 'requestGrants').mockImplementation(async (grantRequests) => (
+    grantRequests.map(({ incarnation }) => ({ incarnation, requests: 0, withinMs: 20, perSecond: 1 }))
   ))
   const replies = await scenario.sendFor(110, 20)
   expect(limited.arrivals).toEqual([])
--- a/entry/gateway/test/notices.test.ts
+++ b/entry/gateway/test/notices.test.ts
@@ -55,15 +55,15 @@
 const backoffMs = ({ incarnation }: StubEndpoint) => backoffs().remainingMs(incarnation)
 
 /** Records a backoff that endpoints request, as a response with Retry-After does. */
-function backOff (ms: number, ...standIns: StubEndpoint[]): void {
-  for (const { incarnation } of standIns) backoffs().recordBackoff(incarnation, ms)
+function backOff (ms: number, ...endpoints: StubEndpoint[]): void {
+  for (const { incarnation } of endpoints) backoffs().recordBackoff(incarnation, ms)
 }
 
 /** Gives the process at an address a new incarnation without any notices. */
-async function restart (standIn: StubEndpoint): Promise<void> {
+async function restart (endpoint: StubEndpoint): Promise<void> {
   starts += 1
-  Object.assign(standIn, { incarnation: `${standIn.incarnation.slice(0, 3)}-${starts}` })
-  await deployment.register(standIn)
+  Object.assign(endpoint, { incarnation: `${endpoint.incarnation.slice(0, 3)}-${starts}` })
+  await deployment.register(endpoint)
 }
 
 beforeAll(async () => {
@@ -134,9 +134,9 @@
 
 describe('when a backoff ends', () => {
   /** Delays every response until `release` is called. */
-  function delayResponses (standIn: StubEndpoint): { pendingCount: () => number, release: () => void } {
+  function delayResponses (endpoint: StubEndpoint): { pendingCount: () => number, release: () => void } {
     const pending: Array<() => void> = []
-    standIn.behaviour = (incoming, response, body) => { pending.push(() => answerOk(incoming, response, body)) }
+    endpoint.behaviour = (incoming, response, body) => { pending.push(() => answerOk(incoming, response, body)) }
     return { pendingCount: () => pending.length, release: () => { for (const respond of pending.splice(0)) respond() } }
   }
 
--- a/entry/gateway/test/shared-limit.test.ts
+++ b/entry/gateway/test/shared-limit.test.ts
@@ -78,13 +78,13 @@
       wake: () => {},
       isCold: () => false,
       onLimitEnded: () => {},
-      requestGrants: async (wishes) => {
+      requestGrants: async (grantRequests) => {
         this.messages += 1
         await this.delay(this.scenario.roundTripMs / 2)
         const { ledger } = this
         if (ledger === undefined) throw new Error('no leader')
         const bounds = [createLimitGrantBound(this.scenario.perSecond) as GrantBound]
-        const grants = wishes.map(({ incarnation, requests, perSecond }) => (
+        const grants = grantRequests.map(({ incarnation, requests, perSecond }) => (
           { ...ledger.grant({ incarnation, box, requests, bounds }, performance.now()), perSecond }
         ))
         await this.delay(this.scenario.roundTripMs / 2)
