--- a/entry/gateway/src/grant-requester.ts
+++ b/entry/gateway/src/grant-requester.ts
@@ -36,7 +36,9 @@
 export interface GrantRequesterOptions {
   box: string
   logger: Logger
+  /** Sends grant requests to control; rejects if control does not respond. */
   requestGrants: (grantRequests: GrantRequest[]) => Promise<Grant[]>
+  /** Wakes the requests that wait for an endpoint. */
   wake: () => void
   now: () => number
   grantPool: GrantPool
@@ -52,7 +54,7 @@
   service: string
   /** Preference of this box; lower ranks are requested first. */
   rank: number
-  /** Earliest time of the next request for a grant, as control has asked for. */
+  /** Earliest time of the next grant request for this endpoint, set by a refusal of control. */
   notBefore: number
   /** When a request last needed a grant for this endpoint. */
   wantedAt: number
--- a/entry/gateway/src/on-demand-requester.ts
+++ b/entry/gateway/src/on-demand-requester.ts
@@ -19,6 +19,7 @@
 
 export interface OnDemandRequesterOptions {
   logger: Logger
+  /** Sends grant requests to control; rejects if control does not respond. */
   requestGrants: (grantRequests: GrantRequest[]) => Promise<Grant[]>
   /** Wakes the requests that wait for an endpoint. */
   wake: () => void
--- a/entry/gateway/test/attempt-policy.test.ts
+++ b/entry/gateway/test/attempt-policy.test.ts
@@ -132,7 +132,7 @@
 })
 
 describe('an endpoint that does not respond', () => {
-  const work: InFlightRequest = {
+  const inFlightRequest: InFlightRequest = {
     startedAt: 0,
     unreadTokens: 0,
     urgency: 0,
@@ -144,7 +144,7 @@
     lastEventAt: 0
   }
   const running = (state: RequestState, hasAlternative = true) => ({
-    ...state, candidate, inFlightRequest: work, lastProgressAt: 0, hasAlternative: () => hasAlternative
+    ...state, candidate, inFlightRequest, lastProgressAt: 0, hasAlternative: () => hasAlternative
   })
 
   it('loses a repeatable request well after its target if another endpoint is available', () => {
