--- a/entry/gateway/src/attempt-response-receiver.ts
+++ b/entry/gateway/src/attempt-response-receiver.ts
@@ -1,4 +1,4 @@
-/** Takes the answer of one attempt and passes it on as far as it is whole. */
+/** Receives the response to one attempt and forwards its complete parts to the caller. */
 import { type AttemptVerdict, type Candidate, type InFlightRequest } from '@gullwall/routing.balancer'
 import { type BackoffPermit } from '@gullwall/routing.backoff'
 import { type AnswerHead } from './dialect.ts'
@@ -8,38 +8,39 @@
 
 /** How one attempt ended. */
 export type AttemptOutcome =
-  /** The caller has its answer. */
+  /** The caller has received the complete response. */
   | { type: 'answered' }
-  /** It certainly did not run. */
+  /** The endpoint certainly did not run the request. */
   | { type: 'not-run', reason: string, verdict: AttemptVerdict }
-  /** Not even the connection was made. */
+  /** No byte was written, because no connection was established in time. `isRefused`: nothing listens at the address of the endpoint. */
   | { type: 'unsent', reason: string, isRefused?: boolean }
-  /** It was no longer to be sent there once a connection was free. */
+  /** The request was no longer allowed at the endpoint when a connection became available. */
   | { type: 'withheld', reason: string }
-  /** It ran, and the endpoint answered with a failure. */
+  /** The endpoint ran the request and responded with a failure. */
   | { type: 'failed', head: ExchangeHead, body: Buffer }
-  /** It may have run; `isClosed`: the endpoint, or the way to it, ended the connection. */
+  /** The endpoint may have run the request. `isClosed`: the endpoint or the network closed the connection. */
   | { type: 'broken', reason: string, isClosed: boolean }
   | { type: 'cancelled' }
 
-const MAX_WHOLE_BYTES = 32 * 1024 * 1024
-const SUCCESS = 200
-const REDIRECT = 300
-const SERVER_ERROR = 500
-const MISDIRECTED = 421
+const MAX_BODY_BYTES = 32 * 1024 * 1024
+const MIN_SUCCESS_STATUS = 200
+const MIN_REDIRECT_STATUS = 300
+const MIN_SERVER_ERROR_STATUS = 500
+/** Another process than the addressed endpoint responds with this status. */
+const MISDIRECTED_REQUEST_STATUS = 421
 
 export class AttemptResponseReceiver implements ExchangeListener {
-  /** All that has arrived of the answer. */
+  /** Bytes of the response body that have been received. */
   receivedBytes = 0
   private head: ExchangeHead | undefined
-  private readonly cutter = new EventSplitter()
+  private readonly splitter = new EventSplitter()
   private readonly chunks: Buffer[] = []
-  private bytes = 0
+  private bodyBytes = 0
   private isNotRun = false
 
   constructor (
-    private readonly forwarding: RequestForwarder,
-    private readonly work: InFlightRequest,
+    private readonly forwarder: RequestForwarder,
+    private readonly inFlightRequest: InFlightRequest,
     private readonly candidate: Candidate,
     private readonly permit: BackoffPermit
   ) {}
@@ -49,18 +50,18 @@
   }
 
   onHead (head: ExchangeHead): boolean {
-    const { call } = this.forwarding.context
+    const { call } = this.forwarder.context
     const { requestId, isFromService, isNotRun } = this.readHead(head)
     this.head = head
-    this.isNotRun = isNotRun || head.status === MISDIRECTED
+    this.isNotRun = isNotRun || head.status === MISDIRECTED_REQUEST_STATUS
     if (this.isNotRun) return true
     this.permit.recordResponse()
     return requestId === call.requestId && isFromService && head.headers['content-encoding'] === undefined
   }
 
-  /** Reads a head, whatever it is the head of: what the endpoint says of itself holds also in an answer to something else. */
+  /** Applies the notices of any response head: they describe the endpoint, even if the response belongs to another request. */
   private readHead ({ status, headers, sentAt }: ExchangeHead): AnswerHead {
-    const { services } = this.forwarding.context
+    const { services } = this.forwarder.context
     const { endpoint } = this.candidate
     endpoint.lastReceivedAt = performance.now()
     const head = services.dialect.readAnswer(status, headers)
@@ -72,35 +73,39 @@
     this.receivedBytes += chunk.length
     this.candidate.endpoint.lastReceivedAt = performance.now()
     if (this.isStream) {
-      this.passEvents(chunk)
+      this.forwardEvents(chunk)
       return
     }
-    this.bytes += chunk.length
-    if (this.bytes <= MAX_WHOLE_BYTES) this.chunks.push(chunk)
+    this.bodyBytes += chunk.length
+    if (this.bodyBytes <= MAX_BODY_BYTES) this.chunks.push(chunk)
   }
 
-  /** Gives the end of the attempt, and ends the caller's answer where it is whole. */
+  /** Returns the outcome of the attempt, and ends the caller's response if it is complete. */
   finish (end: ExchangeOutcome): AttemptOutcome {
     const { head } = this
     if (end.type === 'cancelled') return { type: 'cancelled' }
     if (end.type === 'unsent' || end.type === 'withheld') return end
     if (this.isNotRun && head !== undefined) {
-      return { type: 'not-run', reason: `the endpoint answered ${head.status}, not run`, verdict: head.status === MISDIRECTED ? 'ended' : 'shed' }
+      return {
+        type: 'not-run',
+        reason: `the endpoint responded ${head.status} without running the request`,
+        verdict: head.status === MISDIRECTED_REQUEST_STATUS ? 'ended' : 'shed'
+      }
     }
-    if (end.type === 'broken' || head === undefined) return end.type === 'broken' ? end : { type: 'broken', reason: 'no head', isClosed: false }
-    if (head.status >= SERVER_ERROR) return { type: 'failed', head, body: Buffer.concat(this.chunks) }
+    if (end.type === 'broken' || head === undefined) return end.type === 'broken' ? end : { type: 'broken', reason: 'no response head', isClosed: false }
+    if (head.status >= MIN_SERVER_ERROR_STATUS) return { type: 'failed', head, body: Buffer.concat(this.chunks) }
     return this.complete(head)
   }
 
   private complete (head: ExchangeHead): AttemptOutcome {
-    const { answer } = this.forwarding.context
+    const { answer } = this.forwarder.context
     if (this.isStream) {
-      this.begin(head)
-      this.forwarding.recordAnswered()
-      answer.endStream(this.cutter.remainder())
+      this.sendHead(head)
+      this.forwarder.recordAnswered()
+      answer.endStream(this.splitter.remainder())
     } else {
-      if (this.bytes > MAX_WHOLE_BYTES) return { type: 'broken', reason: 'the answer is too large', isClosed: false }
-      this.forwarding.recordAnswered()
+      if (this.bodyBytes > MAX_BODY_BYTES) return { type: 'broken', reason: 'the response is too large', isClosed: false }
+      this.forwarder.recordAnswered()
       answer.sendComplete(head.status, head.headers, Buffer.concat(this.chunks))
     }
     return { type: 'answered' }
@@ -108,31 +113,31 @@
 
   private get isStream (): boolean {
     const status = this.head?.status ?? 0
-    return this.forwarding.context.call.route.kind === 'stream' && status >= SUCCESS && status < REDIRECT
+    return this.forwarder.context.call.route.kind === 'stream' && status >= MIN_SUCCESS_STATUS && status < MIN_REDIRECT_STATUS
   }
 
-  private passEvents (chunk: Buffer): void {
-    const events = this.cutter.push(chunk)
+  private forwardEvents (chunk: Buffer): void {
+    const events = this.splitter.push(chunk)
     if (events === undefined || this.head === undefined) return
-    const { answer } = this.forwarding.context
-    this.candidate.endpoint.recordEvents(this.work, performance.now())
-    this.begin(this.head)
-    this.forwarding.recordEvents(events.lastId)
-    if (!answer.writeEvents(events.bytes)) this.forwarding.pauseUntilDrained()
+    const { answer } = this.forwarder.context
+    this.candidate.endpoint.recordEvents(this.inFlightRequest, performance.now())
+    this.sendHead(this.head)
+    this.forwarder.recordEvents(events.lastId)
+    if (!answer.writeEvents(events.bytes)) this.forwarder.pauseUntilDrained()
   }
 
-  /** The first run of a stream gives the head; later runs go on under it. */
-  private begin (head: ExchangeHead): void {
-    const { answer } = this.forwarding.context
+  /** Sends the head of the first attempt of a stream; attempts that resume the stream continue under this head. */
+  private sendHead (head: ExchangeHead): void {
+    const { answer } = this.forwarder.context
     if (!answer.hasBegun) answer.beginStream(head.status, head.headers)
   }
 }
 
-/** What the end of an attempt tells of its endpoint. */
-export function verdictOf (end: AttemptOutcome): AttemptVerdict {
-  switch (end.type) {
+/** Returns what the outcome of an attempt says about the health of its endpoint. */
+export function verdictOf (outcome: AttemptOutcome): AttemptVerdict {
+  switch (outcome.type) {
     case 'answered': return 'good'
-    case 'not-run': return end.verdict
+    case 'not-run': return outcome.verdict
     case 'unsent': return 'unreachable'
     case 'failed':
     case 'broken': return 'failed'
@@ -141,7 +146,7 @@
   }
 }
 
-/** Whether the endpoint has begun to run the request, as far as its end tells. */
-export function hasRun (end: AttemptOutcome): boolean {
-  return end.type === 'answered' || end.type === 'failed' || end.type === 'broken'
+/** Whether the endpoint ran the request at least in part, or may have run it. */
+export function hasRun (outcome: AttemptOutcome): boolean {
+  return outcome.type === 'answered' || outcome.type === 'failed' || outcome.type === 'broken'
 }
--- a/entry/gateway/src/eligibility.ts
+++ b/entry/gateway/src/eligibility.ts
@@ -1,41 +1,41 @@
 /**
- * Which endpoints a request may have at all, whatever they cost. Each rule says why not, for the log and for the caller.
- * Rules of places are asked once for each data centre, rules of endpoints for each candidate.
+ * Rules that decide which endpoints a request may be sent to, regardless of their cost. Each rule returns the reason of a refusal
+ * for the log and for the caller. Data centre rules are evaluated once for each data centre, endpoint rules for each candidate.
  */
 import { type EndpointState } from '@gullwall/routing.balancer'
 import { type Call } from './call.ts'
 
-/** Why nothing is sent to a data centre for a request; undefined if it may be. */
+/** Returns why a request may not be sent to a data centre; undefined if it may. */
 export type DataCentreRule = (dataCentre: string, call: Call) => string | undefined
 
-/** Why a request is not sent to an endpoint now; undefined if it may be. */
+/** Returns why a request may not be sent to an endpoint now; undefined if it may. */
 export type EndpointRule = (endpoint: EndpointState, call: Call) => string | undefined
 
-/** The rules in force, in the order in which they are asked. */
+/** The rules in force, in the order of evaluation. */
 export interface EligibilityRules {
   dataCentres: readonly DataCentreRule[]
   endpoints: readonly EndpointRule[]
 }
 
-/** Why a request may not have an endpoint; undefined if it may. */
+/** Returns why a request may not be sent to an endpoint, by the rules for data centres and endpoints; undefined if it may. */
 export function findRefusalReason (rules: EligibilityRules, endpoint: EndpointState, call: Call): string | undefined {
   return findDataCentreRefusalReason(rules, endpoint.description.dataCentre, call) ?? findEndpointRefusalReason(rules, endpoint, call)
 }
 
-/** Why a request may not go to a data centre; undefined if it may. */
+/** Returns why a request may not be sent to a data centre; undefined if it may be. */
 export function findDataCentreRefusalReason ({ dataCentres }: EligibilityRules, dataCentre: string, call: Call): string | undefined {
   for (const rule of dataCentres) {
-    const why = rule(dataCentre, call)
-    if (why !== undefined) return why
+    const reason = rule(dataCentre, call)
+    if (reason !== undefined) return reason
   }
   return undefined
 }
 
-/** Why a request may not have an endpoint of a data centre where it may go; undefined if it may. */
+/** Returns why a request may not be sent to an endpoint of an allowed data centre; undefined if it may. */
 export function findEndpointRefusalReason ({ endpoints }: EligibilityRules, endpoint: EndpointState, call: Call): string | undefined {
   for (const rule of endpoints) {
-    const why = rule(endpoint, call)
-    if (why !== undefined) return why
+    const reason = rule(endpoint, call)
+    if (reason !== undefined) return reason
   }
   return undefined
 }
--- a/entry/gateway/src/request-forwarder.ts
+++ b/entry/gateway/src/request-forwarder.ts
@@ -1,4 +1,4 @@
-/** Carries one request: chooses endpoints, sends attempts one after the other, and ends the caller's answer. */
+/** Forwards one request: chooses endpoints, sends attempts one after the other, and completes the response to the caller. */
 import { pauseSensitivityOf, type Candidate, type SentPrompt, type InFlightRequest } from '@gullwall/routing.balancer'
 import { type CallerResponse, type ErrorResponse } from './caller-response.ts'
 import { AttemptResponseReceiver, hasRun, verdictOf, type AttemptOutcome } from './attempt-response-receiver.ts'
@@ -19,19 +19,19 @@
 import { RequestRecorder } from './request-recorder.ts'
 import { acquireSendPermit, findSendRefusalReason, type SendPermit } from './send-permit.ts'
 
-/** An address that takes no connection for so long is left, in ms: many round trips between data centres of one region. */
-const CONNECT_MS = 350
-/** Connections to an endpoint whose service is not in the document. */
+/** Timeout for a connection to an endpoint, in ms: many round trips between data centres of one region. */
+const CONNECT_TIMEOUT_MS = 350
+/** Connections to an endpoint whose service is not in the routing document. */
 const DEFAULT_CONNECTIONS = 100
-/** Clock slack so that an endpoint does not go on past the caller's deadline, in ms. */
+/** Time that is subtracted from an endpoint's deadline, so that the endpoint stops before the caller's deadline, in ms. */
 const DEADLINE_SLACK_MS = 4
-/** The shortest time after which a refused caller is asked to come back, in ms. */
-const RETRY_AFTER_MS = 300
+/** Minimum delay after which a refused caller may retry, in ms. */
+const MIN_RETRY_AFTER_MS = 300
 
-/** One attempt that is about to be sent. */
+/** An attempt that is ready to be sent. */
 interface Attempt {
   candidate: Candidate
-  leave: SendPermit
+  permit: SendPermit
 }
 
 export class RequestForwarder {
@@ -39,11 +39,12 @@
   private readonly recorder: RequestRecorder
   private lastEventId: string | undefined
   private exchange: Exchange | undefined
-  /** Since when a request that may have run waits for its next endpoint, and until when; others may take that first. */
+  /** When a request that may have run began to wait for its next endpoint; undefined while no such request waits. */
   private resumedAt: number | undefined
-  private waitsUntil = -Infinity
+  /** Until when the request waits for its next endpoint. */
+  private waitDeadline = -Infinity
   private isOver = false
-  private hasBegunToRun = false
+  private hasRecordedUsage = false
   private deadlineTimer: NodeJS.Timeout | undefined
 
   constructor (private readonly services: GatewayServices, private readonly call: Call, private readonly answer: CallerResponse) {
@@ -58,26 +59,26 @@
     this.services.outputEstimate.record(call.route.name, call.output ?? {})
     this.services.view.reserved.recordRequest({ route: call.route.name }, call.prompt.at(-1)?.tokens ?? 0)
     await yieldToIo()
-    this.answer.onDisconnected(() => this.callerLeft())
-    this.deadlineTimer = setTimeout(() => this.deadlinePassed(), call.deadline - performance.now())
+    this.answer.onDisconnected(() => this.cancel())
+    this.deadlineTimer = setTimeout(() => this.handleTimeout(), call.deadline - performance.now())
     try {
-      await this.attempts()
+      await this.runAttempts()
     } finally {
       clearTimeout(this.deadlineTimer)
     }
   }
 
-  private async attempts (): Promise<void> {
-    const never = findPermanentRefusalReason(this.services, this.call)
-    if (never !== undefined) this.refuse(never)
+  private async runAttempts (): Promise<void> {
+    const permanentReason = findPermanentRefusalReason(this.services, this.call)
+    if (permanentReason !== undefined) this.refuse(permanentReason)
     while (!this.isOver) {
-      if (this.isHeld()) return
+      if (this.refuseIfQuarantined()) return
       if (remainingMs(this.call) <= 0) {
-        this.deadlinePassed()
+        this.handleTimeout()
         return
       }
-      const candidate = await this.nextCandidate()
-      if (this.isOver || this.isHeld()) return
+      const candidate = await this.findCandidate()
+      if (this.isOver || this.refuseIfQuarantined()) return
       if (candidate === undefined) {
         this.refuse(findNoEndpointReason(this.choiceOptions))
         return
@@ -90,21 +91,21 @@
       const { limits } = this.services
       if (limits.needsGrant(candidate.endpoint)) await limits.requestGrant(candidate.endpoint)
       if (this.isOver) return
-      const leave = acquireSendPermit(this.services, candidate.endpoint)
-      if (leave === undefined) continue
-      const end = await this.attempt({ candidate, leave })
+      const permit = acquireSendPermit(this.services, candidate.endpoint)
+      if (permit === undefined) continue
+      const outcome = await this.runAttempt({ candidate, permit })
       if (this.isOver) return
-      this.follow(decideNextStep(this.state, candidate.endpoint.description.incarnation, end))
+      this.applyStep(decideNextStep(this.state, candidate.endpoint.description.incarnation, outcome))
     }
   }
 
-  /** Refuses a request under which endpoints crash. */
-  private isHeld (): boolean {
-    const why = this.services.quarantine.findRefusalReason(this.call)
-    if (why === undefined) return false
+  /** Refuses the request if endpoints crash under it; returns whether it was refused. */
+  private refuseIfQuarantined (): boolean {
+    const reason = this.services.quarantine.findRefusalReason(this.call)
+    if (reason === undefined) return false
     this.services.quarantine.refusedCount += 1
     this.recorder.includeFingerprint()
-    this.refuse(why, QUARANTINE_RETRY_MS)
+    this.refuse(reason, QUARANTINE_RETRY_MS)
     return true
   }
 
@@ -119,39 +120,39 @@
     return { services: this.services, call: this.call, history: this.history, isResumed: this.isResumed }
   }
 
-  /** Chooses an endpoint, and waits a little for one where none is known or has room. */
-  private async nextCandidate (): Promise<Candidate | undefined> {
+  /** Chooses an endpoint. If none is known or has capacity, waits for one for a limited time. */
+  private async findCandidate (): Promise<Candidate | undefined> {
     const { call, services, history } = this
-    // What may have run can't be refused any more; it fails where no endpoint takes it.
+    // A request that may have run can't be refused; it fails if no endpoint accepts it.
     if (history.mayHaveRun && this.hasUntried) this.resumedAt ??= performance.now()
     const { resumedAt } = this
     for (;;) {
       const candidate = chooseEndpoint(this.choiceOptions)
       if (candidate !== undefined || this.isOver) return candidate
       const now = performance.now()
-      const waits = findWaitDeadline(
+      const waitDeadline = findWaitDeadline(
         { call, resumedAt, availabilityDelayMs: findAvailabilityDelayMs(services, call, history.excluded), now }
       )
-      // The wait for the end of a rest goes on through the slow start after it.
-      this.waitsUntil = resumedAt === undefined ? waits : Math.max(this.waitsUntil, waits)
-      const left = this.waitsUntil - now
-      if (left <= 0) return undefined
-      await services.view.waitForChange(left, waitRank(call))
+      // A resumed request keeps waiting during the slow start that follows a backoff.
+      this.waitDeadline = resumedAt === undefined ? waitDeadline : Math.max(this.waitDeadline, waitDeadline)
+      const maxWaitMs = this.waitDeadline - now
+      if (maxWaitMs <= 0) return undefined
+      await services.view.waitForChange(maxWaitMs, waitRank(call))
     }
   }
 
-  /** Whether an endpoint takes work that this request has not tried, though a rule may keep it from there now. */
+  /** Whether a usable endpoint has not been tried yet, even if a rule excludes that endpoint now. */
   private get hasUntried (): boolean {
     const { call, history, services: { view } } = this
     const usable = call.route.split.flatMap(({ service }) => view.usable(service))
     return usable.some(({ description }) => !history.excluded.has(description.incarnation))
   }
 
-  private async attempt ({ candidate, leave }: Attempt): Promise<AttemptOutcome> {
+  private async runAttempt ({ candidate, permit }: Attempt): Promise<AttemptOutcome> {
     const { call, services } = this
     const { endpoint, unreadTokens, urgency } = candidate
     this.resumedAt = undefined
-    this.waitsUntil = -Infinity
+    this.waitDeadline = -Infinity
     services.loadExchange.recordSending(endpoint, call.prompt)
     const sent: SentPrompt = {
       prompt: call.prompt,
@@ -161,29 +162,29 @@
       isPauseSensitive: isPauseSensitive(services, call, endpoint.description.service),
       outputTokens: estimateOutputTokens(services, call)
     }
-    const work = endpoint.begin(sent, performance.now())
+    const inFlightRequest = endpoint.begin(sent, performance.now())
     services.loadExchange.recordSent(unreadTokens)
     this.recorder.recordDispatch(candidate)
-    const noteCrossing = services.crossRegionTraffic.beginRequest(call, endpoint)
-    const receiver = new AttemptResponseReceiver(this, work, candidate, leave.backoffPermit)
-    const exchange = this.send(candidate, receiver, leave)
+    const recordResponseBytes = services.crossRegionTraffic.beginRequest(call, endpoint)
+    const receiver = new AttemptResponseReceiver(this, inFlightRequest, candidate, permit.backoffPermit)
+    const exchange = this.send(candidate, receiver, permit)
     this.exchange = exchange
-    const watch = setInterval(() => this.watch(candidate, work), WATCH_INTERVAL_MS)
-    const end = receiver.finish(await exchange.outcome)
-    clearInterval(watch)
-    leave.backoffPermit.release()
-    noteCrossing(receiver.receivedBytes)
-    const verdict = verdictOf(end)
-    if (call.route.kind !== 'stream' && hasRun(end)) this.noteBegun(work.startedAt)
-    endpoint.end(work, verdict, performance.now())
+    const watchTimer = setInterval(() => this.checkAttempt(candidate, inFlightRequest), WATCH_INTERVAL_MS)
+    const outcome = receiver.finish(await exchange.outcome)
+    clearInterval(watchTimer)
+    permit.backoffPermit.release()
+    recordResponseBytes(receiver.receivedBytes)
+    const verdict = verdictOf(outcome)
+    if (call.route.kind !== 'stream' && hasRun(outcome)) this.recordUsage(inFlightRequest.startedAt)
+    endpoint.end(inFlightRequest, verdict, performance.now())
     if (verdict === 'unreachable' || verdict === 'ended') services.loadExchange.recordUnreachable()
     services.view.wake()
-    if (end.type === 'broken') this.recorder.includeFingerprint()
-    services.quarantine.recordOutcome(endpoint, call, end)
-    return end
+    if (outcome.type === 'broken') this.recorder.includeFingerprint()
+    services.quarantine.recordOutcome(endpoint, call, outcome)
+    return outcome
   }
 
-  private send (candidate: Candidate, receiver: AttemptResponseReceiver, leave: SendPermit): Exchange {
+  private send (candidate: Candidate, receiver: AttemptResponseReceiver, permit: SendPermit): Exchange {
     const { call, services } = this
     const { description } = candidate.endpoint
     const service = services.view.table?.service(description.service)
@@ -195,18 +196,18 @@
       path: call.path,
       headers: this.headersFor(candidate),
       body: call.body,
-      connectMs: CONNECT_MS,
-      findRefusalReason: () => this.whyNotNow(candidate, leave),
+      connectMs: CONNECT_TIMEOUT_MS,
+      findRefusalReason: () => this.findRefusalReason(candidate, permit),
       wasClosedCleanly: async () => await services.connections.wasClosedCleanly()
     }, receiver)
   }
 
-  /** Why a request is not sent after all, once a connection is free. */
-  private whyNotNow ({ endpoint }: Candidate, leave: SendPermit): string | undefined {
+  /** Returns why the request may no longer be sent when a connection is available; undefined if it may. */
+  private findRefusalReason ({ endpoint }: Candidate, permit: SendPermit): string | undefined {
     const { services, call } = this
     return findDataCentreRefusalReason(services.eligibility, endpoint.description.dataCentre, call) ??
       services.quarantine.findRefusalReason(call) ??
-      services.notices.findRefusalReason(endpoint) ?? findSendRefusalReason(services, endpoint, leave)
+      services.notices.findRefusalReason(endpoint) ?? findSendRefusalReason(services, endpoint, permit)
   }
 
   private headersFor ({ endpoint, source, urgency }: Candidate): string[] {
@@ -221,8 +222,8 @@
     })
   }
 
-  /** Carries out what was decided after an attempt. */
-  private follow (step: NextStep): void {
+  /** Carries out the step that was decided after an attempt. */
+  private applyStep (step: NextStep): void {
     switch (step.type) {
       case 'over':
         this.isOver = true
@@ -235,7 +236,7 @@
         break
       case 'pass-failure':
         this.isOver = true
-        this.recorder.recordEnd('fail', `failed-${step.head.status}`, `the endpoint answered ${step.head.status}: ${step.reason}`)
+        this.recorder.recordEnd('fail', `failed-${step.head.status}`, `the endpoint responded ${step.head.status}: ${step.reason}`)
         this.answer.sendComplete(step.head.status, step.head.headers, step.body)
         break
       case 'fail':
@@ -244,55 +245,59 @@
     }
   }
 
-  /** Whether the caller has had a part of its stream from an earlier attempt. */
+  /** Whether the caller has received a part of the stream from an earlier attempt. */
   private get isResumed (): boolean {
     return this.lastEventId !== this.call.lastEventId
   }
 
-  private watch (candidate: Candidate, work: InFlightRequest): void {
+  /** Checks a running attempt at each interval: ends it at the deadline, and abandons it if its endpoint does not respond. */
+  private checkAttempt (candidate: Candidate, inFlightRequest: InFlightRequest): void {
     const { exchange, recorder } = this
     if (this.isOver || exchange === undefined) return
-    // A box that was suspended finds its timers late.
+    // The deadline timer fires late if the box was suspended.
     if (remainingMs(this.call) <= 0) {
-      this.deadlinePassed()
+      this.handleTimeout()
       return
     }
     const running = {
       ...this.state,
       candidate,
-      inFlightRequest: work,
+      inFlightRequest,
       lastProgressAt: recorder.latestEventAt,
       hasAlternative: () => hasAlternative(this.choiceOptions, candidate.endpoint)
     }
-    const why = findStallReason(running, performance.now())
-    if (why === undefined) return
-    recorder.recordDecision('stop', why)
-    exchange.abandon(why)
+    const reason = findStallReason(running, performance.now())
+    if (reason === undefined) return
+    recorder.recordDecision('stop', reason)
+    exchange.abandon(reason)
   }
 
-  /** Lets the endpoint wait while the caller reads too slowly. */
+  /** Pauses reading from the endpoint while the caller reads too slowly. */
   pauseUntilDrained (): void {
     const { exchange } = this
     exchange?.pause()
     this.answer.onceDrained(() => exchange?.resume())
   }
 
-  /** Notes whole events that were passed on. */
+  /** Records that complete events were forwarded to the caller. */
   recordEvents (lastId: string | undefined): void {
     this.recorder.recordEvents()
-    this.noteBegun(this.recorder.latestEventAt)
+    this.recordUsage(this.recorder.latestEventAt)
     if (lastId !== undefined) this.lastEventId = lastId
   }
 
-  /** Counts the request once, however often it is sent. A stream begins to run with its first event, a call when it is sent. */
-  private noteBegun (at: number): void {
+  /**
+   * Counts the request once for the usage of its organisation, even if it is sent several times. A stream counts from its first
+   * event, any other request from the start of its attempt.
+   */
+  private recordUsage (at: number): void {
     const { organisation } = this.call
-    if (this.hasBegunToRun || organisation === undefined) return
-    this.hasBegunToRun = true
+    if (this.hasRecordedUsage || organisation === undefined) return
+    this.hasRecordedUsage = true
     this.services.usageTracker.recordBegun(organisation.name, at)
   }
 
-  /** Notes that the caller's answer is whole. */
+  /** Records that the response to the caller is complete. */
   recordAnswered (): void {
     this.isOver = true
     this.recorder.recordAnswered()
@@ -302,38 +307,39 @@
     return { call: this.call, answer: this.answer, services: this.services }
   }
 
-  private callerLeft (): void {
+  /** Cancels the request of a caller that has disconnected. */
+  private cancel (): void {
     if (this.isOver) return
     this.isOver = true
     this.exchange?.cancel()
-    this.recorder.recordEnd('cancel', 'left', 'the caller left')
+    this.recorder.recordEnd('cancel', 'left', 'the caller disconnected')
   }
 
-  private deadlinePassed (): void {
+  private handleTimeout (): void {
     if (this.isOver) return
     const wasSent = this.history.mayHaveRun || this.exchange?.isSent === true
     this.exchange?.cancel()
-    if (wasSent) this.fail(504, 'ERR_GULLWALL_DEADLINE', 'the time of the request has passed')
-    else this.refuse('the time of the request has passed before it was sent')
+    if (wasSent) this.fail(504, 'ERR_GULLWALL_DEADLINE', 'the request timed out')
+    else this.refuse('the request timed out before it was sent')
   }
 
-  /** Refuses a request that has not run; says so where it is certain. */
-  private refuse (why: string, afterMs = 0): void {
-    const restMs = findAvailabilityDelayMs(this.services, this.call)
-    const returnMs = restMs > 0 ? chooseRetryAfterMs(restMs, this.call.tier) : RETRY_AFTER_MS
-    const retryAfterMs = Math.round(Math.max(returnMs, afterMs))
-    if (this.history.mayHaveRun) this.fail(502, 'ERR_GULLWALL_BROKEN', why)
-    else this.end({ status: 503, code: 'ERR_GULLWALL_REFUSED', message: why, ran: 'no', retryAfterMs }, 'refuse')
+  /** Refuses the request with "not run" if that is certain; a request that may have run fails instead. */
+  private refuse (reason: string, minRetryAfterMs = 0): void {
+    const availabilityDelayMs = findAvailabilityDelayMs(this.services, this.call)
+    const defaultRetryAfterMs = availabilityDelayMs > 0 ? chooseRetryAfterMs(availabilityDelayMs, this.call.tier) : MIN_RETRY_AFTER_MS
+    const retryAfterMs = Math.round(Math.max(defaultRetryAfterMs, minRetryAfterMs))
+    if (this.history.mayHaveRun) this.fail(502, 'ERR_GULLWALL_BROKEN', reason)
+    else this.end({ status: 503, code: 'ERR_GULLWALL_REFUSED', message: reason, ran: 'no', retryAfterMs }, 'refuse')
   }
 
   private fail (status: number, code: string, why: string): void {
     this.end({ status, code, message: why, ran: this.answer.hasBegun ? 'partly' : 'unknown' }, 'fail')
   }
 
-  private end (answer: ErrorResponse, decision: 'refuse' | 'fail'): void {
+  private end (error: ErrorResponse, decision: 'refuse' | 'fail'): void {
     this.isOver = true
-    const outcome = decision === 'refuse' ? 'refused' : `error-${answer.status}`
-    this.recorder.recordEnd(decision, outcome, `${answer.status} ${answer.code}: ${answer.message}`)
-    this.answer.sendError(answer)
+    const outcome = decision === 'refuse' ? 'refused' : `error-${error.status}`
+    this.recorder.recordEnd(decision, outcome, `${error.status} ${error.code}: ${error.message}`)
+    this.answer.sendError(error)
   }
 }
--- a/entry/gateway/src/request-recorder.ts
+++ b/entry/gateway/src/request-recorder.ts
@@ -1,4 +1,4 @@
-/** What one request leaves behind for operators: log lines and figures. */
+/** Writes the log lines and metrics of one request. */
 import { type ForwardRecord } from '@gullwall/core.logger'
 import { type Candidate } from '@gullwall/routing.balancer'
 import { type AttemptHistory } from './attempt-history.ts'
@@ -8,21 +8,24 @@
 type Decision = ForwardRecord['decision']
 
 export class RequestRecorder {
-  /** When whole events were last passed on. */
+  /** When events were last forwarded to the caller, by the monotonic clock. */
   latestEventAt = -Infinity
   private firstEventAt: number | undefined
   private longestPauseMs = 0
-  /** The endpoint of the latest attempt. */
+  /** The candidate of the latest attempt. */
   private latest: Candidate | undefined
   private fingerprint: string | undefined
 
   constructor (private readonly services: GatewayServices, private readonly call: Call, private readonly history: AttemptHistory) {}
 
-  /** Notes that an attempt is about to be sent. */
+  /** Records that an attempt is about to be sent. */
   recordDispatch (candidate: Candidate): void {
     const { call, history, services } = this
     this.latest = candidate
-    const record = { ...this.record('dispatch'), why: whyOf(candidate) + services.coldEndpoints.describeExcluded(call) + services.limits.describeExcluded(call) }
+    const record = {
+      ...this.record('dispatch'),
+      why: describeChoice(candidate) + services.coldEndpoints.describeExcluded(call) + services.limits.describeExcluded(call)
+    }
     if (history.isFirst) {
       services.metrics.queued.observe({ route: call.route.name }, this.elapsedMs / 1000)
       services.logger.sampled(candidate.crossRegion === undefined ? 'dispatch' : 'leave', record)
@@ -31,7 +34,7 @@
     }
   }
 
-  /** Notes whole events that were passed on. */
+  /** Records that complete events were forwarded. */
   recordEvents (): void {
     const now = performance.now()
     if (this.firstEventAt === undefined) {
@@ -43,17 +46,17 @@
     this.latestEventAt = now
   }
 
-  /** Notes that the latest attempt broke off, or that the request is held; from now on lines tell which request it is. */
+  /** Adds the fingerprint to all further log lines: the latest attempt was interrupted, or the request is quarantined. */
   includeFingerprint (): void {
     this.fingerprint = this.call.fingerprint()
   }
 
-  /** Notes what was decided between two attempts. */
+  /** Records a decision after or during an attempt. */
   recordDecision (decision: 'retry' | 'resume' | 'stop', why: string): void {
     this.services.logger.info({ ...this.record(decision), why })
   }
 
-  /** Notes that the caller has its answer. Answers in time are sampled; each late one has its line. */
+  /** Records that the response is complete. Log lines of responses in time are sampled; each late response is logged. */
   recordAnswered (): void {
     this.count('answered')
     const lateness = this.lateness()
@@ -62,12 +65,14 @@
     else this.services.logger.info(record)
   }
 
-  /** Notes an end without a whole answer. */
-  recordEnd (decision: 'refuse' | 'fail' | 'cancel', outcome: string, why: string): void {
+  /** Records the end of a request without a complete response. */
+  recordEnd (decision: 'refuse' | 'fail' | 'cancel', outcome: string, reason: string): void {
     this.count(outcome)
     const { logger, coldEndpoints, limits } = this.services
     logger.info({
-      ...this.record(decision), ...this.timing(), why: why + coldEndpoints.describeExcluded(this.call) + limits.describeExcluded(this.call)
+      ...this.record(decision),
+      ...this.timing(),
+      why: reason + coldEndpoints.describeExcluded(this.call) + limits.describeExcluded(this.call)
     })
   }
 
@@ -79,7 +84,7 @@
     if (this.firstEventAt !== undefined) metrics.longestPause.observe({ route }, this.longestPauseMs / 1000)
   }
 
-  /** In what an answer missed its targets; undefined if it was in time. */
+  /** Describes which target the response missed; undefined if it was in time. */
   private lateness (): string | undefined {
     const { route, arrivedAt } = this.call
     const firstMs = (this.firstEventAt ?? performance.now()) - arrivedAt
@@ -135,10 +140,10 @@
   }
 }
 
-/** Why an endpoint was chosen. */
-function whyOf ({ isAffinityEndpoint, crossRegion }: Candidate): string {
-  if (crossRegion === undefined) return isAffinityEndpoint ? 'home of its prompt' : 'least cost'
+/** Describes why an endpoint was chosen. */
+function describeChoice ({ isAffinityEndpoint, crossRegion }: Candidate): string {
+  if (crossRegion === undefined) return isAffinityEndpoint ? 'affinity endpoint of its prompt' : 'least cost'
   const { region, costMs, localCost } = crossRegion
-  const stay = localCost === undefined ? 'no endpoint there takes it' : `staying costs ${Math.round(localCost)}`
-  return `leaves its region for ${region}: ${stay}, the way ${Math.round(costMs)} of the cost`
+  const local = localCost === undefined ? 'no endpoint of its own region accepts it' : `the best of its own region costs ${Math.round(localCost)}`
+  return `sent to region ${region}: ${local}; distance is ${Math.round(costMs)} of the cost`
 }
--- a/entry/gateway/test/allowed-regions.fuzz.test.ts
+++ b/entry/gateway/test/allowed-regions.fuzz.test.ts
@@ -152,6 +152,6 @@
     }
     // All engines with free slots are tried; the others accept urgent requests only.
     for (const { running } of remaining()) expect(running).toBeGreaterThan(0.9 * SLOTS)
-    if (endpoints.length > 0 && !endpoints.some(isAllowed)) expect(findNoEndpointReason(options)).toContain('no endpoint may have it')
+    if (endpoints.length > 0 && !endpoints.some(isAllowed)) expect(findNoEndpointReason(options)).toContain('no eligible endpoint')
   }), { numRuns: RUNS, seed: SEED })
 })
--- a/entry/gateway/test/cold-endpoint-requests.test.ts
+++ b/entry/gateway/test/cold-endpoint-requests.test.ts
@@ -28,7 +28,7 @@
   it('are refused without a grant, with the reason and a retry-after header', async () => {
     const reply = await call()
     expect(reply).toMatchObject({ status: 503, headers: { 'retry-after': expect.any(String) as string } })
-    expect(reply.text).toContain('no endpoint may have it: cold, and no grant is available')
+    expect(reply.text).toContain('no eligible endpoint: cold, and no grant is available')
     expect(deployment.logRecordsOf(reply.id).at(-1)).toMatchObject({ decision: 'refuse', why: expect.stringContaining('excluded cold endpoints without a grant: 1') as string })
     expect(cold.requestIds).toEqual([])
   })
