--- a/bench/experiment/src/choice.ts
+++ b/bench/experiment/src/choice.ts
@@ -5,7 +5,7 @@
 import { RouteTable, type Route } from '@gullwall/config.document'
 import { type GatewaySettings } from '@gullwall/config.settings'
 import { AttemptHistory, chooseEndpoint, createGateway, LoadExchange, type Call, type GatewayServices } from '@gullwall/entry.gateway'
-import { DEFAULT_WEIGHTS, type EndpointState, type PromptPart, type SentPrompt, type InFlightRequest } from '@gullwall/routing.balancer'
+import { DEFAULT_WEIGHTS, type EndpointState, type PromptPart, type SentRequest, type InFlightRequest } from '@gullwall/routing.balancer'
 import { type LoadSummary } from '@gullwall/transport.messages'
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
@@ -78,7 +78,7 @@
     this.services = {
       view,
       eligibility: gateway.get('eligibility'),
-      outputEstimate: gateway.get('outputEstimate'),
+      outputLengthEstimator: gateway.get('outputLengthEstimator'),
       crossRegionTraffic: gateway.get('crossRegionTraffic'),
       coldEndpoints: gateway.get('coldEndpoints'),
       evacuatedDataCentres: gateway.get('evacuatedDataCentres'),
@@ -128,11 +128,11 @@
     const { endpoint, unreadTokens, urgency } = candidate
     this.unreadTokens += unreadTokens
     const { prompt } = call
-    const sent: SentPrompt = { prompt, unreadTokens, urgency, pauseSensitivity: 0.1, isPauseSensitive: false, outputTokens: OUTPUT_TOKENS }
+    const sent: SentRequest = { prompt, unreadTokens, urgency, pauseSensitivity: 0.1, isPauseSensitive: false, outputTokens: OUTPUT_TOKENS }
     const work = endpoint.begin(sent, performance.now())
     this.underWay.push({ endpoint, work })
     const oldest = this.underWay.length > UNDER_WAY ? this.underWay.shift() : undefined
-    oldest?.endpoint.end(oldest.work, 'good', performance.now())
+    oldest?.endpoint.end(oldest.work, 'success', performance.now())
   }
 
   private look (): void {
--- a/bench/soak/src/mutations.ts
+++ b/bench/soak/src/mutations.ts
@@ -31,10 +31,10 @@
     name: 'answer-of-another',
     check: 'whole',
     file: `${GATEWAY}/attempt-response-receiver.ts`,
-    find: 'answer.sendComplete(head.status, head.headers, Buffer.concat(this.chunks))',
+    find: 'response.sendComplete(head.status, head.headers, Buffer.concat(this.chunks))',
     replace: `const before = (globalThis as any).lastAnswer ?? head.headers
       ;(globalThis as any).lastAnswer = head.headers
-      answer.sendComplete(head.status, Math.random() < 0.05 ? before : head.headers, Buffer.concat(this.chunks))`,
+      response.sendComplete(head.status, Math.random() < 0.05 ? before : head.headers, Buffer.concat(this.chunks))`,
     faults: [CALM]
   },
   {
@@ -49,7 +49,7 @@
     name: 'limit-not-heard',
     check: 'limit',
     file: `${GATEWAY}/endpoint-notices.ts`,
-    find: 'if (!view.leases.recordLimit(incarnation, word)) return',
+    find: 'if (!view.leases.recordLimit(incarnation, receivedLimit)) return',
     replace: 'return',
     faults: ['engine names a limit', 'burst']
   },
@@ -65,7 +65,7 @@
     name: 'draining-not-heard',
     check: 'drains',
     file: `${GATEWAY}/endpoint-notices.ts`,
-    find: 'if (notices.isDraining) this.noteDraining(incarnation)',
+    find: 'if (notices.isDraining) this.recordDraining(incarnation)',
     replace: '',
     faults: ['engine leaves unheard']
   },
@@ -81,8 +81,8 @@
     name: 'refused-after-run',
     check: 'not-run',
     file: `${GATEWAY}/request-forwarder.ts`,
-    find: "this.end({ status, code, message: why, ran: this.answer.hasBegun ? 'partly' : 'unknown' }, 'fail')",
-    replace: "this.end({ status: 503, code, message: why, ran: 'no' }, 'fail')",
+    find: "this.end({ status, code, message: reason, ran: this.response.hasBegun ? 'partly' : 'unknown' }, 'fail')",
+    replace: "this.end({ status: 503, code, message: reason, ran: 'no' }, 'fail')",
     faults: ['engine cuts answers', 'engine crashes']
   },
   {
@@ -156,8 +156,8 @@
     name: 'crashing-sent-on',
     check: 'crashing',
     file: 'control/program/src/crash-evaluator.ts',
-    find: 'if (now - this.unjudgedSince < SETTLE_MS) return',
-    replace: 'if (now - this.unjudgedSince < 1e9) return',
+    find: 'if (now - this.unevaluatedSince < EVALUATION_DELAY_MS) return',
+    replace: 'if (now - this.unevaluatedSince < 1e9) return',
     faults: ['request crashes engines']
   },
   {
@@ -180,8 +180,8 @@
     name: 'low-tier-starves',
     check: 'starve',
     file: `${GATEWAY}/attempt-policy.ts`,
-    find: 'const isBound = history.mayHaveRun',
-    replace: "if (tier === 2) return { type: 'refuse', reason: 'starved', retryAfterMs: 0 }\n  const isBound = history.mayHaveRun",
+    find: 'const isAlwaysAdmitted = history.mayHaveRun',
+    replace: "if (tier === 2) return { type: 'refuse', reason: 'starved', retryAfterMs: 0 }\n  const isAlwaysAdmitted = history.mayHaveRun",
     faults: [CALM]
   },
   {
--- a/cli/story/test/story.test.ts
+++ b/cli/story/test/story.test.ts
@@ -80,7 +80,7 @@
   })
 
   it('a refusal, since its only data centre is evacuated, with when that came into force', async () => {
-    const caller = { isDisconnected: false, wasDisconnectedBefore: async () => false }
+    const caller = { isDisconnected: false, detectDisconnect: async () => false }
     const order = async (isEvacuated: boolean) => {
       await deployment.control.get('evacuations').order({ dataCentre: 'dc1', isEvacuated, caller })
       await until('the order in force', () => deployment.gateway.get('evacuatedDataCentres').isEvacuated('dc1') === isEvacuated)
--- a/control/program/src/crash-evaluator.ts
+++ b/control/program/src/crash-evaluator.ts
@@ -15,7 +15,7 @@
  * Delay between the first report of a crash and its evaluation, in ms. Entries report a crash within 20 ms and a round trip, and
  * the first report alone must not decide. A longer delay would let a request that its caller repeats at once crash more endpoints.
  */
-const SETTLE_MS = 150
+const EVALUATION_DELAY_MS = 150
 /** Retention time of a crash, in ms. Callers that repeat a request by hand do so within minutes. */
 const CRASH_RETENTION_MS = 10 * 60_000
 /** Quarantine time of a request, in ms. After it a single crash quarantines the request again: one endpoint in half an hour at most. */
@@ -31,7 +31,7 @@
   private readonly crashAges = new AgeTracker<string>()
   private readonly quarantineAges = new AgeTracker<string>()
   private readonly now: () => number
-  private unjudgedSince: number | undefined
+  private unevaluatedSince: number | undefined
   private isBusy = false
   private timer: NodeJS.Timeout | undefined
 
@@ -74,7 +74,7 @@
   /** Evaluates and removes the crashes that are due, if this process leads. */
   async runDueCommands (): Promise<void> {
     if (this.services.quorum.role !== 'leader') {
-      this.unjudgedSince = undefined
+      this.unevaluatedSince = undefined
       this.crashAges.reset()
       this.quarantineAges.reset()
       return
@@ -94,13 +94,13 @@
   private async evaluateIfDue (): Promise<void> {
     const { evidence } = this.services.state.quarantine
     if (evidence.isEvaluated) {
-      this.unjudgedSince = undefined
+      this.unevaluatedSince = undefined
       return
     }
     const now = this.now()
-    this.unjudgedSince ??= now
-    if (now - this.unjudgedSince < SETTLE_MS) return
-    this.unjudgedSince = undefined
+    this.unevaluatedSince ??= now
+    if (now - this.unevaluatedSince < EVALUATION_DELAY_MS) return
+    this.unevaluatedSince = undefined
     this.log(await this.services.proposer.applyQuarantineCommand({ type: 'judge-crashes' }), 'too many requests are quarantined')
   }
 
--- a/control/program/src/evacuations.ts
+++ b/control/program/src/evacuations.ts
@@ -49,7 +49,7 @@
     const order: PendingOrder = { ...given, receivedAt, seen }
     try {
       this.assertKnown(order)
-      if (await order.caller.wasDisconnectedBefore()) throw this.createLateError(order, 'ERR_GULLWALL_CALLER_LEFT', 'its caller is disconnected')
+      if (await order.caller.detectDisconnect()) throw this.createLateError(order, 'ERR_GULLWALL_CALLER_LEFT', 'its caller is disconnected')
       return await this.execute(order)
     } catch (error) {
       this.recordFailure(order, error)
--- a/control/program/src/order-caller.ts
+++ b/control/program/src/order-caller.ts
@@ -11,7 +11,7 @@
 export interface OrderCaller {
   readonly isDisconnected: boolean
   /** Checks whether the caller disconnected before the order was read. */
-  wasDisconnectedBefore: () => Promise<boolean>
+  detectDisconnect: () => Promise<boolean>
 }
 
 export class HttpCaller implements OrderCaller {
@@ -26,7 +26,7 @@
    * Waits for a possible end of the connection. If an order was delayed by the network or by a suspended process, the end of its
    * connection is read together with the order or within a round trip after it.
    */
-  async wasDisconnectedBefore (): Promise<boolean> {
+  async detectDisconnect (): Promise<boolean> {
     await nextTurn()
     await nextTurn()
     return this.isDisconnected || await this.disconnectsWithin(DISCONNECT_DELAY_MS)
--- a/control/program/test/evacuations.test.ts
+++ b/control/program/test/evacuations.test.ts
@@ -13,8 +13,8 @@
 /** Election timeout in ms. It exceeds the pauses of a busy test machine, so that leaders change only when a test kills or isolates them. */
 const ELECTION_MS = 1500
 
-const connected: OrderCaller = { isDisconnected: false, wasDisconnectedBefore: async () => false }
-const disconnected: OrderCaller = { isDisconnected: true, wasDisconnectedBefore: async () => true }
+const connected: OrderCaller = { isDisconnected: false, detectDisconnect: async () => false }
+const disconnected: OrderCaller = { isDisconnected: true, detectDisconnect: async () => true }
 
 /** A caller whose order blocks in its process until the test unblocks it. */
 class BlockedCaller implements OrderCaller {
@@ -22,7 +22,7 @@
   unblock!: () => void
   private readonly unblocked = new Promise<void>((resolve) => { this.unblock = resolve })
 
-  async wasDisconnectedBefore (): Promise<boolean> {
+  async detectDisconnect (): Promise<boolean> {
     await this.unblocked
     return false
   }
--- a/endpoint/notices/src/limit.ts
+++ b/endpoint/notices/src/limit.ts
@@ -10,7 +10,7 @@
   /** Undefined if the headers do not change the limit. */
   notice: LimitNotice | undefined
   /** The header values if none of them is valid. */
-  unreadable?: string | undefined
+  invalidValues?: string | undefined
 }
 
 export interface ParseLimitOptions {
@@ -25,6 +25,6 @@
   if (values.length === 0) return { notice: isInterim ? undefined : { perSecond: undefined } }
   const texts = values.flatMap((value) => value.split(',')).map((text) => text.trim())
   const limits = texts.filter((text) => DECIMAL.test(text)).map(Number).filter(Number.isFinite)
-  if (limits.length === 0) return { notice: undefined, unreadable: values.join(' | ') }
+  if (limits.length === 0) return { notice: undefined, invalidValues: values.join(' | ') }
   return { notice: { perSecond: Math.min(...limits) } }
 }
--- a/endpoint/notices/src/notices.ts
+++ b/endpoint/notices/src/notices.ts
@@ -14,7 +14,7 @@
   /** The advertised limit; undefined if these headers do not change it. */
   limit?: LimitNotice | undefined
   /** Header values that are invalid, shortened. */
-  unreadable?: string | undefined
+  invalidValues?: string | undefined
 }
 
 export interface ParseNoticesOptions {
@@ -37,7 +37,7 @@
 /** The lowest status of a final response; lower ones are interim responses. */
 const MIN_FINAL_STATUS = 200
 /** The maximum number of characters of invalid values that are kept. */
-const MAX_UNREADABLE_LENGTH = 60
+const MAX_INVALID_VALUES_LENGTH = 60
 /** The values of the draining header that mean false, in lower case. */
 const FALSE_VALUES: ReadonlySet<string> = new Set(['', '0', 'false', 'no'])
 
@@ -47,16 +47,16 @@
   const isDraining = getValues(headers, drainingHeader).some((value) => !FALSE_VALUES.has(value.trim().toLowerCase()))
   const limit = parseLimit(getValues(headers, limitHeader), { isInterim: status < MIN_FINAL_STATUS })
   const notices: Notices = { isDraining, limit: limit.notice, ...parseBackoff(options) }
-  const unreadable = [notices.unreadable, limit.unreadable].filter((text) => text !== undefined)
-  return unreadable.length === 0 ? notices : { ...notices, unreadable: unreadable.join(' | ').slice(0, MAX_UNREADABLE_LENGTH) }
+  const invalidValues = [notices.invalidValues, limit.invalidValues].filter((text) => text !== undefined)
+  return invalidValues.length === 0 ? notices : { ...notices, invalidValues: invalidValues.join(' | ').slice(0, MAX_INVALID_VALUES_LENGTH) }
 }
 
-function parseBackoff ({ status, headers, now = Date.now() }: ParseNoticesOptions): Pick<Notices, 'backoffMs' | 'unreadable'> {
+function parseBackoff ({ status, headers, now = Date.now() }: ParseNoticesOptions): Pick<Notices, 'backoffMs' | 'invalidValues'> {
   const values = BACKOFF_STATUSES.has(status) ? getValues(headers, 'retry-after') : []
   if (values.length === 0) return { backoffMs: undefined }
   const [date] = getValues(headers, 'date')
   const times = values.map((text) => parseRetryAfter(text, { date, now })).filter((ms) => ms !== undefined)
-  if (times.length === 0) return { backoffMs: undefined, unreadable: values.join(' | ').slice(0, MAX_UNREADABLE_LENGTH) }
+  if (times.length === 0) return { backoffMs: undefined, invalidValues: values.join(' | ').slice(0, MAX_INVALID_VALUES_LENGTH) }
   return { backoffMs: Math.max(...times) }
 }
 
@@ -68,12 +68,12 @@
 }
 
 /** Describes notices for a log line; undefined if there are none. */
-export function describeNotices ({ isDraining, backoffMs, limit, unreadable }: Notices): string | undefined {
+export function describeNotices ({ isDraining, backoffMs, limit, invalidValues }: Notices): string | undefined {
   const parts = [
     ...(isDraining ? ['draining'] : []),
     ...(backoffMs === undefined ? [] : [`backoff of ${Math.round(backoffMs)} ms requested`]),
     ...(limit?.perSecond === undefined ? [] : [`limit of ${limit.perSecond} requests per second from all boxes advertised`]),
-    ...(unreadable === undefined ? [] : [`invalid header values: ${unreadable}`])
+    ...(invalidValues === undefined ? [] : [`invalid header values: ${invalidValues}`])
   ]
   return parts.length === 0 ? undefined : parts.join(', ')
 }
--- a/endpoint/notices/test/notices.test.ts
+++ b/endpoint/notices/test/notices.test.ts
@@ -55,7 +55,7 @@
 
   it('use the longest of several backoffs and ignore invalid values', () => {
     expect(notices(503, { 'retry-after': ['1', 'soon', '4'] }).backoffMs).toBe(4000)
-    expect(notices(503, { 'retry-after': ['soon', 'later'] })).toEqual({ isDraining: false, backoffMs: undefined, limit: { perSecond: undefined }, unreadable: 'soon | later' })
+    expect(notices(503, { 'retry-after': ['soon', 'later'] })).toEqual({ isDraining: false, backoffMs: undefined, limit: { perSecond: undefined }, invalidValues: 'soon | later' })
   })
 })
 
@@ -72,9 +72,9 @@
   })
 
   it.each(['-1', 'many', '', '1e3', '0x10', 'NaN', 'Infinity', '1 000', '9'.repeat(400)])('is unchanged by the invalid value %j', (text) => {
-    const { limit, unreadable } = parseLimitHeader(text)
+    const { limit, invalidValues } = parseLimitHeader(text)
     expect(limit).toBeUndefined()
-    expect(unreadable).toBe(text.slice(0, 60))
+    expect(invalidValues).toBe(text.slice(0, 60))
   })
 
   it('is ended by a final response without a limit, but not by an interim response', () => {
--- a/entry/gateway/src/attempt-policy.ts
+++ b/entry/gateway/src/attempt-policy.ts
@@ -29,8 +29,8 @@
 /** What follows an attempt. */
 export type NextStep =
   /** The caller has its response or has disconnected. */
-  | { type: 'over' }
-  | { type: 'again', reason: string, budgetLeft: number }
+  | { type: 'done' }
+  | { type: 'retry', reason: string, budgetLeft: number }
   /** The request has not run and is not retried. */
   | { type: 'refuse', reason: string }
   /** The failure response of the endpoint is forwarded to the caller. */
@@ -53,8 +53,8 @@
  */
 export function admit ({ call, history, acceptableWaitMs }: RequestState, { waitMs }: Candidate): Admission {
   const { tier, prompt, route } = call
-  const isBound = history.mayHaveRun || prompt.length === 0 || tier === 0
-  if (isBound || waitMs <= MAX_WAIT_FACTOR * acceptableWaitMs) return { type: 'send' }
+  const isAlwaysAdmitted = history.mayHaveRun || prompt.length === 0 || tier === 0
+  if (isAlwaysAdmitted || waitMs <= MAX_WAIT_FACTOR * acceptableWaitMs) return { type: 'send' }
   return { type: 'refuse', reason: `the first event would take ${Math.round(waitMs)} ms of ${route.targetMs}`, retryAfterMs: waitMs - route.targetMs }
 }
 
@@ -64,12 +64,12 @@
   switch (outcome.type) {
     case 'answered':
     case 'cancelled':
-      return { type: 'over' }
+      return { type: 'done' }
     case 'unsent':
       history.recordUnsent(incarnation)
       return afterUnsent(state, outcome.reason, now)
     case 'withheld':
-      return { type: 'again', reason: `not sent: ${outcome.reason}`, budgetLeft: state.budget.remaining }
+      return { type: 'retry', reason: `not sent: ${outcome.reason}`, budgetLeft: state.budget.remaining }
     case 'not-run':
       history.recordNotRun(incarnation)
       return afterNotRun(state, outcome.reason)
@@ -95,7 +95,7 @@
   if (history.unsentCount >= MIN_UNSENT_ATTEMPTS && isLate) {
     return { type: 'refuse', reason: `${history.unsentCount} endpoints could not be reached: ${reason}` }
   }
-  return { type: 'again', reason: `not sent: ${reason}`, budgetLeft: budget.remaining }
+  return { type: 'retry', reason: `not sent: ${reason}`, budgetLeft: budget.remaining }
 }
 
 function afterNotRun (state: RequestState, reason: string): NextStep {
@@ -108,7 +108,7 @@
 function retryOr ({ call, history, budget }: RequestState, reason: string, otherwise: (reason: string) => NextStep): NextStep {
   if (!history.canRunAgain) return otherwise(`${reason}; ${history.sentCount} of ${call.route.maxAttempts} attempts made`)
   if (!budget.tryTake()) return otherwise(`${reason}; no retry budget left`)
-  return { type: 'again', reason, budgetLeft: budget.remaining }
+  return { type: 'retry', reason, budgetLeft: budget.remaining }
 }
 
 export interface RunningAttempt extends RequestState {
--- a/entry/gateway/src/attempt-response-receiver.ts
+++ b/entry/gateway/src/attempt-response-receiver.ts
@@ -1,7 +1,7 @@
 /** Receives the response to one attempt and forwards its complete parts to the caller. */
 import { type AttemptVerdict, type Candidate, type InFlightRequest } from '@gullwall/routing.balancer'
 import { type BackoffPermit } from '@gullwall/routing.backoff'
-import { type AnswerHead } from './dialect.ts'
+import { type AttemptResponseHead } from './dialect.ts'
 import { EventSplitter } from './event-splitter.ts'
 import { type ExchangeOutcome, type ExchangeHead, type ExchangeListener } from './exchange.ts'
 import { type RequestForwarder } from './request-forwarder.ts'
@@ -60,11 +60,11 @@
   }
 
   /** Applies the notices of any response head: they describe the endpoint, even if the response belongs to another request. */
-  private readHead ({ status, headers, sentAt }: ExchangeHead): AnswerHead {
+  private readHead ({ status, headers, sentAt }: ExchangeHead): AttemptResponseHead {
     const { services } = this.forwarder.context
     const { endpoint } = this.candidate
     endpoint.lastReceivedAt = performance.now()
-    const head = services.dialect.readAnswer(status, headers)
+    const head = services.dialect.readResponse(status, headers)
     services.notices.apply(endpoint.description, { status, sentAt, notices: head.notices })
     return head
   }
@@ -98,15 +98,15 @@
   }
 
   private complete (head: ExchangeHead): AttemptOutcome {
-    const { answer } = this.forwarder.context
+    const { response } = this.forwarder.context
     if (this.isStream) {
       this.sendHead(head)
       this.forwarder.recordAnswered()
-      answer.endStream(this.splitter.remainder())
+      response.endStream(this.splitter.remainder())
     } else {
       if (this.bodyBytes > MAX_BODY_BYTES) return { type: 'broken', reason: 'the response is too large', isClosed: false }
       this.forwarder.recordAnswered()
-      answer.sendComplete(head.status, head.headers, Buffer.concat(this.chunks))
+      response.sendComplete(head.status, head.headers, Buffer.concat(this.chunks))
     }
     return { type: 'answered' }
   }
@@ -119,24 +119,24 @@
   private forwardEvents (chunk: Buffer): void {
     const events = this.splitter.push(chunk)
     if (events === undefined || this.head === undefined) return
-    const { answer } = this.forwarder.context
+    const { response } = this.forwarder.context
     this.candidate.endpoint.recordEvents(this.inFlightRequest, performance.now())
     this.sendHead(this.head)
     this.forwarder.recordEvents(events.lastId)
-    if (!answer.writeEvents(events.bytes)) this.forwarder.pauseUntilDrained()
+    if (!response.writeEvents(events.bytes)) this.forwarder.pauseUntilDrained()
   }
 
   /** Sends the head of the first attempt of a stream; attempts that resume the stream continue under this head. */
   private sendHead (head: ExchangeHead): void {
-    const { answer } = this.forwarder.context
-    if (!answer.hasBegun) answer.beginStream(head.status, head.headers)
+    const { response } = this.forwarder.context
+    if (!response.hasBegun) response.beginStream(head.status, head.headers)
   }
 }
 
 /** Returns what the outcome of an attempt says about the health of its endpoint. */
 export function verdictOf (outcome: AttemptOutcome): AttemptVerdict {
   switch (outcome.type) {
-    case 'answered': return 'good'
+    case 'answered': return 'success'
     case 'not-run': return outcome.verdict
     case 'unsent': return 'unreachable'
     case 'failed':
--- a/entry/gateway/src/dialect.ts
+++ b/entry/gateway/src/dialect.ts
@@ -34,10 +34,10 @@
   prefixSource: string | undefined
 }
 
-/** What the status and headers of an endpoint's answer state. */
-export interface AnswerHead {
+/** What the status and headers of an endpoint's response state. */
+export interface AttemptResponseHead {
   requestId: string | undefined
-  /** Whether the answer comes from the service itself. */
+  /** Whether the response comes from the service itself. */
   isFromService: boolean
   /** Whether the endpoint states that it has not run the request. */
   isNotRun: boolean
@@ -49,7 +49,7 @@
   readCall (headers: Headers): CallHead
   /** Returns the headers for the endpoint from the caller's. Both lists alternate names and values. */
   attemptHeaders (rawHeaders: readonly string[], facts: AttemptContext): string[]
-  readAnswer (status: number, headers: Headers): AnswerHead
+  readResponse (status: number, headers: Headers): AttemptResponseHead
 }
 
 /** Headers that apply to a single connection. */
--- a/entry/gateway/src/endpoint-choice.ts
+++ b/entry/gateway/src/endpoint-choice.ts
@@ -36,7 +36,7 @@
     isSingleAttempt: !isRepeatable(call) || call.route.maxAttempts === 1,
     dataCentre: settings.dataCentre,
     regions: crossRegionTraffic.costsFor(call),
-    targetMs: call.route.targetMs,
+    firstEventTargetMs: call.route.targetMs,
     maxPauseMs: call.route.pauseMs,
     excluded: history.excluded,
     copySources: [],
@@ -55,8 +55,8 @@
 }
 
 /** Estimates the length of the response to a request, in tokens. */
-export function estimateOutputTokens ({ outputEstimate }: GatewayServices, { route, output }: Call): number {
-  return Math.round(outputEstimate.estimate(route.name, output ?? {}))
+export function estimateOutputTokens ({ outputLengthEstimator }: GatewayServices, { route, output }: Call): number {
+  return Math.round(outputLengthEstimator.estimate(route.name, output ?? {}))
 }
 
 /** Returns why no engine of the route's services can ever run the request; undefined if one can. */
--- a/entry/gateway/src/endpoint-notices.ts
+++ b/entry/gateway/src/endpoint-notices.ts
@@ -24,7 +24,7 @@
   /** Endpoints whose draining became known here first, from a response. */
   draining: number
   /** Backoff times and limits that could not be parsed. */
-  unreadable: number
+  invalid: number
   /** Responses that advertised a limit. */
   limits: number
 }
@@ -38,7 +38,7 @@
 }
 
 export class EndpointNotices {
-  readonly totals: NoticeTotals = { draining: 0, unreadable: 0, limits: 0 }
+  readonly totals: NoticeTotals = { draining: 0, invalid: 0, limits: 0 }
   readonly backoffs: BackoffTable
   private readonly draining = new Set<string>()
   private isWaking = false
@@ -78,11 +78,11 @@
     if (description === undefined) return
     const why = `responded ${status}: ${description}`
     this.services.logger.sampled('notice', { channel: 'endpoint', event: 'notice', endpoint: incarnation ?? sentTo.address, why })
-    if (notices.unreadable !== undefined) this.totals.unreadable += 1
+    if (notices.invalidValues !== undefined) this.totals.invalid += 1
     if (notices.limit?.perSecond !== undefined) this.totals.limits += 1
     if (incarnation === undefined) return
     this.backoffs.recordBackoff(incarnation, notices.backoffMs ?? 0)
-    if (notices.isDraining) this.noteDraining(incarnation)
+    if (notices.isDraining) this.recordDraining(incarnation)
   }
 
   /** Returns the limits known here that differ from those in the leases of a control process. */
@@ -113,13 +113,13 @@
   private recordLimit (incarnation: string, { perSecond }: LimitNotice, sentAt: number): void {
     const { view, controlLinks } = this.services
     const receivedAt = performance.now()
-    const word = { perSecond, sentAt, receivedAt }
-    if (!view.leases.recordLimit(incarnation, word)) return
-    controlLinks.reportLimits([{ incarnation, ...limitToWire(word, receivedAt) }])
+    const receivedLimit = { perSecond, sentAt, receivedAt }
+    if (!view.leases.recordLimit(incarnation, receivedLimit)) return
+    controlLinks.reportLimits([{ incarnation, ...limitToWire(receivedLimit, receivedAt) }])
     view.wake()
   }
 
-  private noteDraining (incarnation: string): void {
+  private recordDraining (incarnation: string): void {
     if (!this.services.view.leases.recordDraining(incarnation)) return
     this.totals.draining += 1
     this.draining.add(incarnation)
--- a/entry/gateway/src/index.ts
+++ b/entry/gateway/src/index.ts
@@ -58,7 +58,7 @@
   limits: EndpointLimits
   eligibility: EligibilityRules
   budget: RetryBudget
-  outputEstimate: OutputLengthEstimator
+  outputLengthEstimator: OutputLengthEstimator
   controlLinks: ControlLinks
   loadExchange: LoadExchange
   usageTracker: UsageTracker
@@ -100,7 +100,7 @@
     .service('limits', createLimits)
     .service('eligibility', createEligibility)
     .service('budget', (services) => createBudget(services))
-    .service('outputEstimate', () => new OutputLengthEstimator())
+    .service('outputLengthEstimator', () => new OutputLengthEstimator())
     .service('controlLinks', (services) => new ControlLinks(services))
     .service('loadExchange', (services) => new LoadExchange(services))
     .service('usageTracker', (services) => new UsageTracker(services))
--- a/entry/gateway/src/metrics.ts
+++ b/entry/gateway/src/metrics.ts
@@ -49,7 +49,7 @@
   add('gullwall_backing_off_endpoints', 'Endpoints that asked this process to be left alone, or come back from that', () => notices.backoffs.size)
   add('gullwall_backoffs_asked_total', 'Answers in which endpoints asked to be left alone', () => notices.backoffs.requestedCount)
   add('gullwall_draining_heard_total', 'Endpoints of which an answer first told that they drain', () => notices.totals.draining)
-  add('gullwall_unreadable_notices_total', 'Times and limits named by endpoints that could not be understood', () => notices.totals.unreadable)
+  add('gullwall_unreadable_notices_total', 'Times and limits named by endpoints that could not be understood', () => notices.totals.invalid)
   add('gullwall_limits_named_total', 'Answers in which endpoints named a limit of requests a second', () => notices.totals.limits)
   add('gullwall_limited_endpoints', 'Endpoints that have named a limit, as this process knows', () => limits.size)
   add('gullwall_limited_kept_requests_total', 'Requests kept from a limited endpoint for want of a grant', () => limits.totals.excluded)
--- a/entry/gateway/src/native-dialect.ts
+++ b/entry/gateway/src/native-dialect.ts
@@ -45,7 +45,7 @@
     if (facts.prefixSource !== undefined) headers.push(PREFIX_SOURCE, facts.prefixSource)
     return headers
   },
-  readAnswer: (status, headers) => ({
+  readResponse: (status, headers) => ({
     requestId: firstHeaderValue(headers, REQUEST_ID),
     isFromService: headers[REQUEST_ID] !== undefined,
     isNotRun: firstHeaderValue(headers, RAN) === 'no',
--- a/entry/gateway/src/request-forwarder.ts
+++ b/entry/gateway/src/request-forwarder.ts
@@ -1,5 +1,5 @@
 /** Forwards one request: chooses endpoints, sends attempts one after the other, and completes the response to the caller. */
-import { pauseSensitivityOf, type Candidate, type SentPrompt, type InFlightRequest } from '@gullwall/routing.balancer'
+import { pauseSensitivityOf, type Candidate, type SentRequest, type InFlightRequest } from '@gullwall/routing.balancer'
 import { type CallerResponse, type ErrorResponse } from './caller-response.ts'
 import { AttemptResponseReceiver, hasRun, verdictOf, type AttemptOutcome } from './attempt-response-receiver.ts'
 import { AttemptHistory } from './attempt-history.ts'
@@ -47,7 +47,7 @@
   private hasRecordedUsage = false
   private deadlineTimer: NodeJS.Timeout | undefined
 
-  constructor (private readonly services: GatewayServices, private readonly call: Call, private readonly answer: CallerResponse) {
+  constructor (private readonly services: GatewayServices, private readonly call: Call, private readonly response: CallerResponse) {
     this.history = new AttemptHistory(call)
     this.recorder = new RequestRecorder(services, call, this.history)
     this.lastEventId = call.lastEventId
@@ -56,10 +56,10 @@
   async run (): Promise<void> {
     const { call } = this
     this.services.budget.recordRequest()
-    this.services.outputEstimate.record(call.route.name, call.output ?? {})
+    this.services.outputLengthEstimator.record(call.route.name, call.output ?? {})
     this.services.view.reserved.recordRequest({ route: call.route.name }, call.prompt.at(-1)?.tokens ?? 0)
     await yieldToIo()
-    this.answer.onDisconnected(() => this.cancel())
+    this.response.onDisconnected(() => this.cancel())
     this.deadlineTimer = setTimeout(() => this.handleTimeout(), call.deadline - performance.now())
     try {
       await this.runAttempts()
@@ -154,7 +154,7 @@
     this.resumedAt = undefined
     this.waitDeadline = -Infinity
     services.loadExchange.recordSending(endpoint, call.prompt)
-    const sent: SentPrompt = {
+    const sent: SentRequest = {
       prompt: call.prompt,
       unreadTokens,
       urgency,
@@ -225,10 +225,10 @@
   /** Carries out the step that was decided after an attempt. */
   private applyStep (step: NextStep): void {
     switch (step.type) {
-      case 'over':
+      case 'done':
         this.isOver = true
         break
-      case 'again':
+      case 'retry':
         this.recorder.recordDecision(this.isResumed ? 'resume' : 'retry', `${step.reason}; budget left ${step.budgetLeft.toFixed(1)}`)
         break
       case 'refuse':
@@ -237,7 +237,7 @@
       case 'pass-failure':
         this.isOver = true
         this.recorder.recordEnd('fail', `failed-${step.head.status}`, `the endpoint responded ${step.head.status}: ${step.reason}`)
-        this.answer.sendComplete(step.head.status, step.head.headers, step.body)
+        this.response.sendComplete(step.head.status, step.head.headers, step.body)
         break
       case 'fail':
         this.fail(502, step.code, step.reason)
@@ -276,7 +276,7 @@
   pauseUntilDrained (): void {
     const { exchange } = this
     exchange?.pause()
-    this.answer.onceDrained(() => exchange?.resume())
+    this.response.onceDrained(() => exchange?.resume())
   }
 
   /** Records that complete events were forwarded to the caller. */
@@ -303,8 +303,8 @@
     this.recorder.recordAnswered()
   }
 
-  get context (): { call: Call, answer: CallerResponse, services: GatewayServices } {
-    return { call: this.call, answer: this.answer, services: this.services }
+  get context (): { call: Call, response: CallerResponse, services: GatewayServices } {
+    return { call: this.call, response: this.response, services: this.services }
   }
 
   /** Cancels the request of a caller that has disconnected. */
@@ -332,14 +332,14 @@
     else this.end({ status: 503, code: 'ERR_GULLWALL_REFUSED', message: reason, ran: 'no', retryAfterMs }, 'refuse')
   }
 
-  private fail (status: number, code: string, why: string): void {
-    this.end({ status, code, message: why, ran: this.answer.hasBegun ? 'partly' : 'unknown' }, 'fail')
+  private fail (status: number, code: string, reason: string): void {
+    this.end({ status, code, message: reason, ran: this.response.hasBegun ? 'partly' : 'unknown' }, 'fail')
   }
 
   private end (error: ErrorResponse, decision: 'refuse' | 'fail'): void {
     this.isOver = true
     const outcome = decision === 'refuse' ? 'refused' : `error-${error.status}`
     this.recorder.recordEnd(decision, outcome, `${error.status} ${error.code}: ${error.message}`)
-    this.answer.sendError(error)
+    this.response.sendError(error)
   }
 }
--- a/entry/gateway/test/allowed-regions.fuzz.test.ts
+++ b/entry/gateway/test/allowed-regions.fuzz.test.ts
@@ -125,7 +125,7 @@
       weights: DEFAULT_WEIGHTS,
       startedAt: 0,
       eligibility: { dataCentres: [createAllowedRegionsRule({ settings, view })], endpoints: [] },
-      outputEstimate: new OutputLengthEstimator(),
+      outputLengthEstimator: new OutputLengthEstimator(),
       coldEndpoints: { selectPreferred: (endpoints: readonly EndpointState[]) => endpoints },
       limits: { needsGrant: () => false }
     } as unknown as GatewayServices
--- a/entry/gateway/test/attempt-policy.test.ts
+++ b/entry/gateway/test/attempt-policy.test.ts
@@ -92,13 +92,13 @@
 
 describe('the step after an attempt', () => {
   it('is none after a complete response or after the caller has disconnected', () => {
-    expect(decideNextStep(stateOf(), 'i-1', { type: 'answered' })).toEqual({ type: 'over' })
-    expect(decideNextStep(stateOf(), 'i-1', { type: 'cancelled' })).toEqual({ type: 'over' })
+    expect(decideNextStep(stateOf(), 'i-1', { type: 'answered' })).toEqual({ type: 'done' })
+    expect(decideNextStep(stateOf(), 'i-1', { type: 'cancelled' })).toEqual({ type: 'done' })
   })
 
   it('is another attempt for a repeatable request, up to the maximum of the route', () => {
     const state = stateOf({ maxAttempts: 2 })
-    expect(decideNextStep(state, 'i-1', broken)).toMatchObject({ type: 'again' })
+    expect(decideNextStep(state, 'i-1', broken)).toMatchObject({ type: 'retry' })
     expect(decideNextStep(state, 'i-2', broken)).toMatchObject({ type: 'fail', code: 'ERR_GULLWALL_BROKEN', reason: 'reset; 2 of 2 attempts made' })
     expect([...state.history.excluded]).toEqual(['i-1', 'i-2'])
   })
@@ -111,15 +111,15 @@
 
   it('uses the retry budget if an endpoint was reached, and is a refusal if the budget is used up', () => {
     const state = stateOf({ kind: 'once', slack: 3 })
-    expect(decideNextStep(state, 'i-1', unsent)).toMatchObject({ type: 'again', budgetLeft: state.budget.remaining })
-    expect(decideNextStep(state, 'i-2', notRun)).toMatchObject({ type: 'again' })
+    expect(decideNextStep(state, 'i-1', unsent)).toMatchObject({ type: 'retry', budgetLeft: state.budget.remaining })
+    expect(decideNextStep(state, 'i-2', notRun)).toMatchObject({ type: 'retry' })
     expect(decideNextStep(state, 'i-3', notRun)).toMatchObject({ type: 'refuse', reason: 'full; no retry budget left' })
   })
 
   it('is another attempt for any number of unreachable endpoints until the target has passed, and then a refusal', () => {
     const state = stateOf()
     for (let index = 0; index < 30; index += 1) {
-      expect(decideNextStep(state, `i-${index}`, unsent, TARGET_MS / 2)).toMatchObject({ type: 'again' })
+      expect(decideNextStep(state, `i-${index}`, unsent, TARGET_MS / 2)).toMatchObject({ type: 'retry' })
     }
     expect(decideNextStep(state, 'i-30', unsent, TARGET_MS)).toMatchObject({ type: 'refuse', reason: '31 endpoints could not be reached: no connection' })
   })
@@ -127,7 +127,7 @@
   it('is another attempt for the first few unreachable endpoints even after the target', () => {
     const state = stateOf()
     const steps = Array.from({ length: 5 }, (_unused, index) => decideNextStep(state, `i-${index}`, unsent, 2 * TARGET_MS).type)
-    expect(steps).toEqual(['again', 'again', 'again', 'again', 'refuse'])
+    expect(steps).toEqual(['retry', 'retry', 'retry', 'retry', 'refuse'])
   })
 })
 
--- a/entry/gateway/test/deployment-view.test.ts
+++ b/entry/gateway/test/deployment-view.test.ts
@@ -66,7 +66,7 @@
     view.leases.merge([lease(1, 2, { state: 'gone' }), lease(2, 2, { state: 'gone' }), lease(3, 2, { state: 'draining' })])
     view.removeGone()
     expect(['i-1', 'i-2', 'i-3'].map((name) => view.get(name) !== undefined)).toEqual([true, false, true])
-    if (inFlightRequest !== undefined) view.get('i-1')?.end(inFlightRequest, 'good', 0)
+    if (inFlightRequest !== undefined) view.get('i-1')?.end(inFlightRequest, 'success', 0)
     view.removeGone()
     expect(view.get('i-1')).toBeUndefined()
     expect(view.busy().size).toBe(0)
--- a/entry/gateway/test/evacuation.test.ts
+++ b/entry/gateway/test/evacuation.test.ts
@@ -10,7 +10,7 @@
 const far = new StubEndpoint('i-far', 'app')
 const both = [near, far]
 const deployment = new GatewayDeployment(both, { dc1: 'north', dc2: 'north' })
-const caller: OrderCaller = { isDisconnected: false, wasDisconnectedBefore: async () => false }
+const caller: OrderCaller = { isDisconnected: false, detectDisconnect: async () => false }
 
 /** The time for which a new request waits for an endpoint, in ms: a quarter of its target. */
 const MAX_WAIT_MS = 100
@@ -100,7 +100,7 @@
     })
   })
 
-  it('loses its prompts to other endpoints at once, and no endpoint is told to copy from it', async () => {
+  it('loses its prompts to other endpoints at once, and no endpoint is instructed to copy from it', async () => {
     const headers = await promptCachedAt(far)
     await applyOrder('dc2', true)
     const moved = await call('/open/1', headers)
--- a/routing/balancer/src/choose.ts
+++ b/routing/balancer/src/choose.ts
@@ -24,7 +24,7 @@
   /** Whether the request may not be retried after a failed attempt. */
   isSingleAttempt?: boolean
   /** The target for the time to the first event, in ms; 0 if there is none. */
-  targetMs: number
+  firstEventTargetMs: number
   /** The longest acceptable pause between events, in ms; undefined if the route sets no limit. */
   maxPauseMs: number | undefined
   /** The incarnations of the endpoints to which this request was already sent. */
@@ -193,7 +193,7 @@
     const cost = weights.prefillWeight * unreadTokens / tokensPerMs +
       weights.copyWeight * copiedTokens / tokensPerMs +
       (isAffinityEndpoint || tokens > 0 ? 0 : weights.notAffinity) +
-      aheadMs + weights.lateFirstEvent * lateProbability(waitMs, request.targetMs) +
+      aheadMs + weights.lateFirstEvent * lateProbability(waitMs, request.firstEventTargetMs) +
       weights.delayedStream * delayedStreams(endpoint, unreadTokens) +
       loadCost(endpoint, request, now, weights)
     return { endpoint, isAffinityEndpoint, unreadTokens, urgency, copiedTokens, source: source?.endpoint, waitMs, cost }
--- a/routing/balancer/src/endpoint-state.ts
+++ b/routing/balancer/src/endpoint-state.ts
@@ -9,7 +9,7 @@
  * What the end of an attempt shows about the endpoint. The verdict `ended` means that another process answered at its address, so
  * that this incarnation has ended. The verdict `neutral` means that the end shows nothing about the endpoint.
  */
-export type AttemptVerdict = 'good' | 'failed' | 'shed' | 'unreachable' | 'ended' | 'neutral'
+export type AttemptVerdict = 'success' | 'failed' | 'shed' | 'unreachable' | 'ended' | 'neutral'
 
 const FIRST_EJECTION_MS = 500
 const MAX_EJECTION_MS = 4000
@@ -70,7 +70,7 @@
 export const NO_OTHERS_LOAD: OthersLoad = { unread: [], running: 0, strain: 0, sensitive: 0, unreachable: 0 }
 
 /** A request that is sent to an endpoint. */
-export interface SentPrompt {
+export interface SentRequest {
   prompt: readonly PromptPart[]
   unreadTokens: number
   urgency: number
@@ -230,7 +230,7 @@
   }
 
   begin (
-    { prompt, unreadTokens, urgency, pauseSensitivity, isPauseSensitive, outputTokens = 0 }: SentPrompt, now: number
+    { prompt, unreadTokens, urgency, pauseSensitivity, isPauseSensitive, outputTokens = 0 }: SentRequest, now: number
   ): InFlightRequest {
     const promptTokens = prompt.reduce((tokens, part) => tokens + part.tokens, 0)
     const aheadTokens = this.tokensAhead(urgency)
@@ -275,12 +275,12 @@
     this.inFlightRequests.delete(request)
     this.release(request)
     if (verdict === 'neutral') return
-    if (verdict === 'good' || verdict === 'failed') this.outcomes.record(verdict === 'good')
-    const failed = verdict === 'good' ? 0 : 1
+    if (verdict === 'success' || verdict === 'failed') this.outcomes.record(verdict === 'success')
+    const failed = verdict === 'success' ? 0 : 1
     this.failureShare += FAILURE_WEIGHT * (failed - this.failureShare)
     if (verdict === 'unreachable') this.eject(now)
     if (verdict === 'ended') this.markEnded()
-    if (verdict === 'good') this.ejections = 0
+    if (verdict === 'success') this.ejections = 0
   }
 
   /** Whether the endpoint is ejected because a connection to it failed recently. */
--- a/routing/balancer/test/choose.test.ts
+++ b/routing/balancer/test/choose.test.ts
@@ -11,7 +11,7 @@
   tier: 1,
   isResumed: false,
   needsSlot: true,
-  targetMs: 2000,
+  firstEventTargetMs: 2000,
   maxPauseMs: undefined,
   excluded: new Set(),
   copySources: [],
@@ -155,7 +155,7 @@
     const all = endpoints(2)
     at(all, 0).prefixCache.record(prompt.slice(0, 1), 0)
     addBacklog(at(all, 0), 18_000)
-    const urgent: ChoiceRequest = { ...request, targetMs: 500, copySources: all }
+    const urgent: ChoiceRequest = { ...request, firstEventTargetMs: 500, copySources: all }
     expect(choose(urgent, all, LATER)?.endpoint).toBe(at(all, 1))
     expect(choose(urgent, all, LATER, { ...DEFAULT_WEIGHTS, lateFirstEvent: 0 })?.endpoint).toBe(at(all, 0))
   })
--- a/routing/balancer/test/cross-region.test.ts
+++ b/routing/balancer/test/cross-region.test.ts
@@ -17,7 +17,7 @@
   tier: 1,
   isResumed: false,
   needsSlot: true,
-  targetMs: 2000,
+  firstEventTargetMs: 2000,
   maxPauseMs: undefined,
   excluded: new Set(),
   copySources: [],
--- a/routing/balancer/test/endpoint-fixture.ts
+++ b/routing/balancer/test/endpoint-fixture.ts
@@ -52,7 +52,7 @@
       tier: 1,
       isResumed: false,
       needsSlot: true,
-      targetMs: 1500,
+      firstEventTargetMs: 1500,
       maxPauseMs: 1000,
       excluded: new Set(),
       copySources: [],
--- a/routing/balancer/test/endpoint-state.test.ts
+++ b/routing/balancer/test/endpoint-state.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from 'vitest'
-import { EndpointState, type SentPrompt } from '@gullwall/routing.balancer'
+import { EndpointState, type SentRequest } from '@gullwall/routing.balancer'
 
 const endpoint = () => new EndpointState({ incarnation: 'i-1', service: 'lm', address: '127.0.0.1:9000', dataCentre: 'dc1', slots: 64 })
 
-function prompt (tokens: number, urgency = 0): SentPrompt {
+function prompt (tokens: number, urgency = 0): SentRequest {
   return { prompt: [{ id: `p-${tokens}`, tokens }], unreadTokens: tokens, urgency, pauseSensitivity: 0, isPauseSensitive: false }
 }
 
@@ -37,7 +37,7 @@
     expect([state.isEjected(400), state.isEjected(600)]).toEqual([true, false])
     fail(1000)
     expect([state.isEjected(1900), state.isEjected(2100)]).toEqual([true, false])
-    state.end(state.begin(prompt(0), 3000), 'good', 3000)
+    state.end(state.begin(prompt(0), 3000), 'success', 3000)
     fail(4000)
     expect([state.isEjected(4400), state.isEjected(4600)]).toEqual([true, false])
   })
@@ -54,7 +54,7 @@
     expect(state.failureShare).toBeCloseTo(0.2)
     state.end(state.begin(prompt(0), 0), 'neutral', 0)
     expect(state.failureShare).toBeCloseTo(0.2)
-    state.end(state.begin(prompt(0), 0), 'good', 0)
+    state.end(state.begin(prompt(0), 0), 'success', 0)
     expect(state.failureShare).toBeCloseTo(0.16)
   })
 })
--- a/routing/balancer/test/engine-memory.test.ts
+++ b/routing/balancer/test/engine-memory.test.ts
@@ -18,7 +18,7 @@
     tier: 1,
     isResumed: false,
     needsSlot: true,
-    targetMs: 1500,
+    firstEventTargetMs: 1500,
     maxPauseMs: undefined,
     excluded: new Set(),
     copySources: [],
--- a/routing/balancer/test/failing-engine.test.ts
+++ b/routing/balancer/test/failing-engine.test.ts
@@ -30,7 +30,7 @@
   isResumed: false,
   needsSlot: true,
   isSingleAttempt: true,
-  targetMs: 500,
+  firstEventTargetMs: 500,
   maxPauseMs: 250,
   excluded: new Set(),
   copySources: [],
@@ -77,7 +77,7 @@
     const request = endpoint.begin(
       { prompt: [], unreadTokens: 0, urgency: 1, pauseSensitivity: 0, isPauseSensitive: false, outputTokens: 10 }, now
     )
-    running.push({ endsAt: now + RUN_MS, end: () => endpoint.end(request, isFailure ? 'failed' : 'good', now + RUN_MS) })
+    running.push({ endsAt: now + RUN_MS, end: () => endpoint.end(request, isFailure ? 'failed' : 'success', now + RUN_MS) })
   }
   return failed / requests
 }
--- a/routing/balancer/test/memory-simulation.test.ts
+++ b/routing/balancer/test/memory-simulation.test.ts
@@ -128,7 +128,7 @@
       tier: arrival.tier,
       isResumed: false,
       needsSlot: true,
-      targetMs: TARGET_MS,
+      firstEventTargetMs: TARGET_MS,
       maxPauseMs: 1000,
       excluded: new Set(),
       copySources: [],
@@ -160,7 +160,7 @@
       }
       for (const run of ended) {
         const known = this.inFlight.get(run.request.id)
-        known?.endpoint.end(known.inFlightRequest, 'good', now)
+        known?.endpoint.end(known.inFlightRequest, 'success', now)
         this.finished.push(run)
       }
     }
--- a/routing/balancer/test/prefill-observer.test.ts
+++ b/routing/balancer/test/prefill-observer.test.ts
@@ -46,7 +46,7 @@
       const request = endpoint.begin({ prompt: [], unreadTokens: 4000, urgency: 0, pauseSensitivity: 0, isPauseSensitive: false }, 0)
       endpoint.samplePrefill(5)
       endpoint.recordEvents(request, 100)
-      endpoint.end(request, 'good', 100)
+      endpoint.end(request, 'success', 100)
     }
     expect(endpoint.prefill.tokensPerMs).toBeCloseTo(40, 0)
     expect(endpoint.prefill.busyShare).toBeGreaterThan(0.9)
--- a/routing/balancer/test/reserved-engines.test.ts
+++ b/routing/balancer/test/reserved-engines.test.ts
@@ -90,7 +90,7 @@
       tier: 1,
       isResumed: false,
       needsSlot: true,
-      targetMs: 2000,
+      firstEventTargetMs: 2000,
       maxPauseMs: 300,
       excluded: new Set(),
       copySources: [],
--- a/sidecar/program/src/engine-notices.ts
+++ b/sidecar/program/src/engine-notices.ts
@@ -58,7 +58,7 @@
     if (said !== undefined) {
       this.services.logger.sampled('notice', { channel: 'endpoint', event: 'notice', endpoint, why: `answered ${status}, ${said}` })
     }
-    if (notices.unreadable !== undefined) this.unreadable += 1
+    if (notices.invalidValues !== undefined) this.unreadable += 1
     this.backoffs.recordBackoff(endpoint, notices.backoffMs ?? 0)
     if (notices.limit !== undefined) this.noteLimit(endpoint, { ...notices.limit, sentAt, receivedAt: performance.now() })
     const since = this.drainingSince.get(endpoint)
