--- a/bench/soak/src/mutations.ts
+++ b/bench/soak/src/mutations.ts
@@ -89,8 +89,8 @@
     name: 'callers-order-engines',
     check: 'outside',
     file: `${GATEWAY}/native-dialect.ts`,
-    find: "neverForwarded: new Set([WAIT, ORGANISATION, URGENCY, INCARNATION, LAST_EVENT, PREFIX_SOURCE, 'authorization'])",
-    replace: "neverForwarded: new Set([WAIT, ORGANISATION, INCARNATION, LAST_EVENT, 'authorization'])",
+    find: "neverForwarded: new Set([WAIT_MS, ORGANISATION, URGENCY, INCARNATION, LAST_EVENT_ID, PREFIX_SOURCE, 'authorization'])",
+    replace: "neverForwarded: new Set([WAIT_MS, ORGANISATION, INCARNATION, LAST_EVENT_ID, 'authorization'])",
     faults: [CALM]
   },
   {
